--- a/src/Decide/ColdPace.cpp
+++ b/src/Decide/ColdPace.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The second in which requests are counted, and what two of them may lose of their distance on the
-/// way: one that opens a connection arrives later than one that finds an open one.
+/// The second in which requests are counted, plus 100 ms by which two requests may come closer on
+/// their way: one that has to open a connection arrives later than one that reuses an open one.
 constexpr Duration Window = std::chrono::milliseconds(1100);
 
 } // namespace
--- a/src/Decide/ColdPace.h
+++ b/src/Decide/ColdPace.h
@@ -6,21 +6,25 @@
 
 namespace catkinloft {
 
-/// \brief A router's share of the requests that one cold replica bears in a second.
+/// \brief One router's part of the rate limit of a cold replica.
 ///
-/// Load: a failure domain that is taken back, or replicas that a release has just started, before
-/// hundreds of routers that share no counter. Harm prevented: each router alone sends little, but
-/// all together end the replica that was about to help. So a few routers, the same for all that
-/// know each other, may send to it, and each of them at a distance that keeps any second within
-/// its share. Half of what the replica bears is shared out: while routers start or fall silent,
-/// some believe in other senders, and two sets of them stay within the bound.
+/// Handles a failure domain that is used again after an evacuation, or replicas that a release has
+/// just started, in front of hundreds of routers that share no counter. Each router alone sends
+/// little, but all together could overload and crash the replica that was about to take load.
+///
+/// Therefore only a few routers may send to the replica; all routers with the same fleet view
+/// select the same ones. Each of them keeps a minimum interval between its requests, so that it
+/// stays within its part in any second. Only half of the rate limit is distributed: while routers
+/// start or become unreachable, fleet views differ and two sets of routers may send at once, which
+/// together still stay within the limit.
 struct ColdPace
 {
-    std::size_t senders = 1; ///< Routers that may send to the replica.
-    Duration spacing = Duration::zero(); ///< Least time between two requests of one of them.
+    std::size_t senders = 1; ///< Number of routers that may send to the replica.
+    Duration spacing = Duration::zero(); ///< Minimum time between two requests of one sender.
 
-    /// \param bearable requests in any one second, from all routers together; above 0.
-    /// \param routers how many there are, at least 1.
+    /// \brief Distributes the rate limit of a cold replica among \a routers.
+    /// \param bearable limit on requests in any one second, from all routers together; above 0.
+    /// \param routers number of routers, at least 1.
     static ColdPace shareOf(double bearable, int routers);
 };
 
--- a/src/Decide/IdleTrust.cpp
+++ b/src/Decide/IdleTrust.cpp
@@ -13,9 +13,9 @@
 bool IdleTrust::broke(Duration rested, Duration after)
 {
     recover();
-    if (rested < m_options.least || after > m_options.answerTime)
+    if (rested < m_options.minLimit || after > m_options.answerTime)
         return false;
-    m_limit = std::clamp(rested / 2, m_options.least, m_limit);
+    m_limit = std::clamp(rested / 2, m_options.minLimit, m_limit);
     m_changedAt = m_options.clock.now();
     return true;
 }
@@ -23,8 +23,8 @@
 void IdleTrust::recover()
 {
     const TimePoint now = m_options.clock.now();
-    while (m_limit < m_options.most && now - m_changedAt >= m_options.recovery) {
-        m_limit = std::min(2 * m_limit, m_options.most);
+    while (m_limit < m_options.maxLimit && now - m_changedAt >= m_options.recovery) {
+        m_limit = std::min(2 * m_limit, m_options.maxLimit);
         m_changedAt += m_options.recovery;
     }
 }
--- a/src/Decide/IdleTrust.h
+++ b/src/Decide/IdleTrust.h
@@ -4,43 +4,47 @@
 
 namespace catkinloft {
 
-/// \brief How long a connection may have rested before a request is sent on it.
+/// \brief Limits how long a connection may have been idle before a request is sent on it.
 ///
-/// Load: calls that may run once at most, to replicas that forget connections which rested, without
-/// closing them and sooner than they said. Harm prevented: such a call is reset on arrival, nobody
-/// can say that it did not run, and it is lost. A connection that was forgotten costs one call (or
-/// one repeat of a call that may be repeated); from then on shorter rests are trusted, and longer
-/// ones again when none is forgotten for some time. Requests that may be repeated are sent after
-/// twice the rest, so that they find out first.
+/// Handles calls that may run at most once, sent to replicas that drop idle connections without
+/// closing them and sooner than they announced. Such a call is answered by a TCP reset; the router
+/// cannot know that it did not run, so the call is lost.
+///
+/// A dropped connection costs one call, or one retry of a retryable call. The limit is then set to
+/// half of the idle time at which it was dropped, and doubles again after each period without a
+/// dropped connection. Retryable requests use twice the limit, so that they detect a longer or
+/// shorter idle timeout of the replica before other requests do.
 class IdleTrust
 {
 public:
     struct Options
     {
         const Clock &clock;
-        /// What is trusted at first. Connections are reused every few hundred milliseconds at the
-        /// load of a normal day, so that longer rests save next to nothing.
-        Duration most = std::chrono::seconds(6);
-        /// Connections that rested less are not forgotten: what breaks on them broke by itself.
-        /// Less would have every call open its own, a round trip and a millisecond each.
-        Duration least = std::chrono::milliseconds(100);
-        /// Without a forgotten connection for so long, twice the rest is trusted. Half a dozen
-        /// doublings lead back from least to most in a minute.
+        /// Initial and largest limit. At usual load connections are reused every few hundred
+        /// milliseconds, so a larger one would save almost no connections.
+        Duration maxLimit = std::chrono::seconds(6);
+        /// Smallest limit. Connections idle for less are not dropped for being idle: a failure on
+        /// them has another cause. With a smaller limit every call would open its own connection,
+        /// which costs a round trip and a millisecond.
+        Duration minLimit = std::chrono::milliseconds(100);
+        /// Time without a dropped connection after which the limit doubles. Six doublings lead from
+        /// the smallest limit back to the largest in a minute.
         Duration recovery = std::chrono::seconds(10);
-        /// A forgotten connection answers with a reset, after a round trip; what breaks later broke
-        /// while the replica was at work.
+        /// A request on a dropped connection is answered by a reset after one round trip. A
+        /// connection that breaks later broke while the replica worked on the request.
         Duration answerTime = std::chrono::milliseconds(20);
     };
 
-    explicit IdleTrust(Options options) : m_options(options), m_limit(options.most) { }
+    explicit IdleTrust(Options options) : m_options(options), m_limit(options.maxLimit) { }
 
-    /// \returns the longest rest after which a request may be sent. \param repeatable it may be
-    /// sent once more.
+    /// \returns the longest idle time of a connection on which a request may be sent.
+    /// \param repeatable whether the request may be sent again after a failed attempt.
     Duration limit(bool repeatable);
 
-    /// \brief Takes note that a connection broke before any byte of an answer.
-    /// \param rested before the request was sent on it; zero for a new one. \param after how long
-    /// after the sending it broke. \returns whether it is taken to have been forgotten.
+    /// \brief Reports that a connection broke before the first byte of an answer.
+    /// \param rested idle time before the request was sent on it; zero for a new connection.
+    /// \param after time from sending the request until the connection broke.
+    /// \returns whether the replica is assumed to have dropped the idle connection.
     bool broke(Duration rested, Duration after);
 
 private:
--- a/src/Decide/PromptPace.cpp
+++ b/src/Decide/PromptPace.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-/// Shorter prompts tell more of the way there and back than of reading.
+/// With shorter prompts the time is dominated by the round trip instead of by the prefill.
 constexpr double MinTokens = 1000;
 
-/// Some ten prompts decide.
+/// Weight of the newest prompt in the moving average, which covers about ten prompts.
 constexpr double Smoothing = 0.1;
 
-/// An engine that shares its steps with others takes up to twice as long as usual (1.1 s for what
-/// usually takes 0.55); a silent one takes for ever.
+/// An engine that also decodes other requests takes up to twice as long as usual (1.1 s for what
+/// usually takes 0.55 s), so a factor of 3 separates it from an engine that never answers.
 constexpr double Tolerance = 3;
 
-/// One prompt that waited behind others must not make the rest wait for seconds.
+/// Bounds a single measurement: one prompt that was queued behind others must not raise the timeout
+/// of all others by seconds.
 constexpr double SlowestPace = 200e-6;
 
 } // namespace
@@ -25,8 +26,8 @@
 {
     if (tokens < MinTokens)
         return;
-    const double pace = std::min(SlowestPace, toSeconds(after) / tokens);
-    m_secondsPerToken += Smoothing * (pace - m_secondsPerToken);
+    const double measured = std::min(SlowestPace, toSeconds(after) / tokens);
+    m_secondsPerToken += Smoothing * (measured - m_secondsPerToken);
 }
 
 Duration PromptPace::allowance(double tokens) const
--- a/src/Decide/PromptPace.h
+++ b/src/Decide/PromptPace.h
@@ -4,30 +4,34 @@
 
 namespace catkinloft {
 
-/// \brief How long an engine may take to read a prompt before it is taken for silent.
+/// \brief Estimates how long an engine may take to process a prompt before it counts as
+/// unresponsive.
 ///
-/// Load: prompts of a hundred to thirty thousand tokens on the same engines, which read them in
-/// chunks between the tokens of other requests. Harm prevented: with one limit for all, an engine
-/// that was reading 30,000 tokens for 1.2 s was given up and ejected, and the next one began anew:
-/// two such prompts in half a minute cost 90,000 tokens read again (2.5% of all that a quiet day of
-/// twelve engines earns) and two sound engines for five seconds.
+/// Handles prompts of a hundred to thirty thousand tokens on the same engines, which process them
+/// in chunks between the decoding steps of other requests. With one fixed timeout for all prompts,
+/// an engine that needs 1.2 s for 30,000 tokens was given up and ejected, and the next engine
+/// started again from the first token: two such prompts in half a minute cost 90,000 tokens of
+/// repeated prefill (2.5% of what twelve engines process at low load) and two healthy engines for
+/// five seconds.
 ///
-/// The pace is learned from prompts of which nothing was kept, so it follows the engines and their
-/// usual load.
+/// The rate is measured with prompts of which the engine had cached nothing, so it follows the
+/// engines and their usual load.
 class PromptPace
 {
 public:
-    /// \brief Takes note that the first event came \a after a prompt of \a tokens was sent to an
-    /// engine that kept none of it.
+    /// \brief Reports that the first event arrived \a after a prompt of \a tokens was sent to an
+    /// engine that had cached none of it.
     void observe(double tokens, Duration after);
 
-    /// \returns the time in which a sound engine has read \a tokens, whatever it keeps of them.
+    /// \returns the time within which a healthy engine processes a prompt of \a tokens, even if it
+    /// has cached none of it.
     Duration allowance(double tokens) const;
 
 private:
     double m_secondsPerToken = InitialPace;
 
-    /// Before anything is known: 20 tokens a millisecond, a third of what common engines read.
+    /// Used before the first measurement: 20 tokens a millisecond, a third of the rate of common
+    /// engines.
     static constexpr double InitialPace = 50e-6;
 };
 
--- a/src/Decide/RepeatBudget.cpp
+++ b/src/Decide/RepeatBudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Part of the allowance that is used. The rest covers repeats that are counted in the slot before
-/// they arrive, and routers that joined and are not known here yet.
+/// Share of the limit that is used. The rest covers retries that are counted one slot before they
+/// arrive at the service, and routers that joined but are not known to this router yet.
 constexpr double UsedPart = 0.85;
 
 constexpr std::int64_t SlotsPerWindow = 10;
@@ -19,7 +19,7 @@
     return m_options.clock.now().time_since_epoch() / (m_options.window / SlotsPerWindow);
 }
 
-RepeatBudget::Slot &RepeatBudget::current()
+RepeatBudget::Slot &RepeatBudget::currentSlot()
 {
     const std::int64_t number = slotNumber();
     Slot &out = m_slots[static_cast<std::size_t>(number) % Slots];
@@ -30,27 +30,27 @@
 
 void RepeatBudget::countRequest()
 {
-    ++current().requests;
+    ++currentSlot().requests;
 }
 
 bool RepeatBudget::tryRepeat(int routers)
 {
-    const std::int64_t now = current().number;
+    const std::int64_t now = currentSlot().number;
     int requests = 0;
-    int repeats = 0;
+    int retries = 0;
     for (const Slot &it : m_slots) {
         if (it.number < 0 || now - it.number > SlotsPerWindow)
             continue;
-        repeats += it.repeats;
-        // One slot fewer than for repeats, since a window may begin anywhere in a slot.
+        retries += it.retries;
+        // One slot fewer than for retries, since a window may begin anywhere within a slot.
         if (now - it.number < SlotsPerWindow)
             requests += it.requests;
     }
     const double allowed =
             UsedPart * (m_options.share * requests + m_options.slack / std::max(1, routers));
-    if (repeats + 1 > allowed)
+    if (retries + 1 > allowed)
         return false;
-    ++current().repeats;
+    ++currentSlot().retries;
     return true;
 }
 
--- a/src/Decide/RepeatBudget.h
+++ b/src/Decide/RepeatBudget.h
@@ -7,48 +7,50 @@
 
 namespace catkinloft {
 
-/// \brief Bounds how often requests of one service are sent once more, over all routers together,
-/// without a message between them.
+/// \brief Limits the retries of requests to one service over all routers, without messages between
+/// the routers.
 ///
-/// Load: a service that fails many requests at once, on every router. Harm prevented: repeats
-/// multiply the traffic when the service is weakest. The limit for all routers is a share of the
-/// requests plus a fixed slack in any window. Each router keeps to its own share of the requests
-/// and to its part of the slack, so the sums hold also while routers do not hear each other.
+/// Handles a service that fails many requests at once on every router. Prevents retries from
+/// multiplying the traffic while the service is overloaded. The limit over all routers is a share of
+/// the requests plus a fixed slack in any window. Each router limits itself to that share of its own
+/// requests and to its part of the slack, so the fleet stays within the limit also while routers
+/// receive no messages from each other.
 class RepeatBudget
 {
 public:
     struct Options
     {
         const Clock &clock;
-        double share = 0.2; ///< Repeats allowed for each request, over all routers.
-        double slack = 0; ///< Repeats allowed besides, over all routers.
-        Duration window = std::chrono::seconds(10); ///< Any span of this length counts.
+        double share = 0.2; ///< Retries allowed per request, over all routers.
+        double slack = 0; ///< Additional retries allowed per window, over all routers.
+        Duration window = std::chrono::seconds(10); ///< The limit holds in any interval of this length.
     };
 
     explicit RepeatBudget(Options options) : m_options(options) { }
 
-    /// \brief Counts the first sending of a request.
+    /// \brief Counts the first attempt of a request.
     void countRequest();
 
-    /// \brief Asks for one more sending and counts it if it is allowed.
-    /// \param routers how many share the slack.
+    /// \brief Requests permission for a retry and counts it if it is allowed.
+    /// \param routers number of routers that share the slack.
+    /// \returns whether the retry is allowed.
     bool tryRepeat(int routers);
 
-    /// \brief Changes the limits; what was counted stays.
+    /// \brief Changes the limits and keeps the counts.
     void setOptions(double share, double slack);
 
 private:
-    static constexpr std::size_t Slots = 12; ///< Tenths of a window, with one on each side.
+    static constexpr std::size_t Slots = 12; ///< Tenths of a window, plus one on each side.
 
     struct Slot
     {
         std::int64_t number = -1;
         int requests = 0;
-        int repeats = 0;
+        int retries = 0;
     };
 
     std::int64_t slotNumber() const;
-    Slot &current();
+    Slot &currentSlot();
 
     Options m_options;
     std::array<Slot, Slots> m_slots;
