--- a/src/Decide/HealthTracker.cpp
+++ b/src/Decide/HealthTracker.cpp
@@ -8,19 +8,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr double Smoothing = 0.1; ///< Ten attempts decide, so that one slow answer does not.
+/// The moving averages cover about ten attempts, so that one slow answer does not eject an
+/// upstream.
+constexpr double Smoothing = 0.1;
 constexpr int MinSamples = 10;
-constexpr int MaxFailuresInRow = 3; ///< A crashed engine is found after three callers.
+constexpr int MaxFailuresInRow = 3; ///< A crashed engine fails at most three requests.
 constexpr double MaxErrorRate = 0.5;
-constexpr double MaxCostRatio = 3; ///< Mixed prompt lengths alone stay under twice the median.
+constexpr double MaxCostRatio = 3; ///< Mixed prompt lengths alone stay below twice the median.
 constexpr Duration FirstEjection = 5s;
 constexpr Duration FirstRamp = 10s;
-constexpr int MaxSetbacks = 4; ///< Longest ejection 80 s, longest slow start 160 s.
-constexpr double MinRamp = 0.1; ///< An engine that is left out entirely could not show itself well.
+constexpr int MaxSetbacks = 4; ///< Limits an ejection to 80 s and a slow start to 160 s.
+constexpr double MinRamp = 0.1; ///< Without any requests an engine could not prove to be healthy.
 
 bool countsAgainstUpstream(const AttemptReport &report)
 {
-    // Overload is the concurrency limit's matter: ejecting a loaded engine would load the next.
+    // The concurrency limit handles overload. Ejecting an overloaded engine would overload others.
     return !report.succeeded && report.reason != Reason::CallerGone
             && report.reason != Reason::UpstreamRefused;
 }
@@ -75,8 +77,8 @@
 
 bool HealthTracker::mayEject(std::size_t poolSize) const
 {
-    // The floor: when many look bad at once the fault is elsewhere, and the rest would be
-    // overloaded by what the ejected ones no longer take.
+    // If many upstreams look bad at once, the cause is elsewhere, and ejecting them would overload
+    // the remaining ones.
     return m_ejected + 1 <= m_maxEjectedShare * static_cast<double>(poolSize);
 }
 
@@ -109,7 +111,7 @@
 void HealthTracker::updateBaseline(std::vector<double> costs)
 {
     if (costs.size() < 3)
-        return; // Of two, neither can be called the outlier.
+        return; // With two upstreams the median cannot tell which one is the outlier.
     const auto middle = costs.begin() + static_cast<std::ptrdiff_t>(costs.size() / 2);
     std::nth_element(costs.begin(), middle, costs.end());
     m_medianCost = *middle;
--- a/src/Decide/HealthTracker.h
+++ b/src/Decide/HealthTracker.h
@@ -8,65 +8,68 @@
 
 namespace catkinloft {
 
-/// \brief Finds upstreams that are much worse than the rest of their pool and lets them earn their
-/// traffic back.
+/// \brief Ejects upstreams that are much worse than the rest of their pool, and returns traffic to
+/// them after a successful probe.
 ///
-/// Load: one engine that fails or has become slow while its peers are well. Harm prevented: a share
-/// of all chats keeps failing, or a late plan costs a penalty. An upstream is compared with its
-/// peers, since an absolute latency limit would be wrong for long finding aids or short notes.
+/// Handles one engine that fails or has become slow while its peers are healthy. Prevents a share
+/// of all chats from failing again and again, and answers that arrive too late for the caller. An
+/// upstream is compared with the median of its pool, because an absolute latency limit would be
+/// wrong for either long or short requests.
 class HealthTracker
 {
 public:
     enum class State {
         Healthy,
-        Ejected, ///< Gets nothing until a time.
+        Ejected, ///< Gets no requests until Entry::ejectedUntil.
         HalfOpen, ///< Gets one request at a time as a probe.
     };
 
-    /// How long an upstream's setbacks count against it; flapping is a matter of minutes.
+    /// Time after which the setbacks of an upstream are halved; flapping happens within minutes.
     static constexpr Duration SetbackLife = std::chrono::minutes(5);
 
-    /// \brief Health of one upstream.
+    /// \brief Health state of one upstream.
     struct Entry
     {
         State state = State::Healthy;
         double errorRate = 0; ///< Moving average.
-        double cost = 0; ///< Moving average of seconds a unit of work.
+        double cost = 0; ///< Moving average of seconds per unit of work.
         int samples = 0;
         int failuresInRow = 0;
-        int setbacks = 0; ///< Ejections and returns, halved with time.
+        int setbacks = 0; ///< Ejections and returns, halved after SetbackLife.
         bool probing = false; ///< A half-open probe is in progress.
         TimePoint ejectedUntil;
-        TimePoint rampStart; ///< Slow start; the past where there is none.
+        TimePoint rampStart; ///< Begin of the slow start; in the past if there is none.
         Duration rampTime = Duration::zero();
         TimePoint setbackAt;
     };
 
-    /// \brief Takes over `rules.max_ejected_share`.
+    /// \brief Sets `rules.max_ejected_share`, the largest share of a pool that may be ejected.
     void setMaxEjectedShare(double share) { m_maxEjectedShare = share; }
 
-    /// \brief Judges \a it by how one attempt went.
+    /// \brief Updates \a it with the outcome of one attempt.
     /// \returns whether its state changed.
     bool record(Entry &it, double work, const AttemptReport &report, std::size_t poolSize,
                 TimePoint now);
 
-    /// \brief Ejects \a it after one attempt, for a failure that no sound upstream shows.
+    /// \brief Ejects \a it after a single attempt, for a failure that no healthy upstream shows.
     /// \returns whether it was healthy before and may be ejected.
     bool ejectAtOnce(Entry &it, std::size_t poolSize, TimePoint now);
 
-    /// \brief Compares with the median of \a entries; call about once a second.
+    /// \brief Sets the median of \a costs as the cost that upstreams are compared with; call about
+    /// once a second.
     void updateBaseline(std::vector<double> costs);
 
-    /// \returns whether \a it may get a request now; opens it half when its time is over.
+    /// \returns whether \a it may get a request now; makes it half open when its ejection time is
+    /// over.
     bool admits(Entry &it, TimePoint now);
 
-    /// \brief Starts slow start for an upstream that joined or returned.
+    /// \brief Begins the slow start of an upstream that joined or returned.
     void joined(Entry &it, TimePoint now);
 
-    /// \returns share of its usual load that \a it may carry, above 0 and at most 1.
+    /// \returns the share of its usual load that \a it may get, above 0 and at most 1.
     static double ramp(const Entry &it, TimePoint now);
 
-    /// \brief Forgets \a it, which left the pool.
+    /// \brief Removes \a it, which left the pool, from the count of ejected upstreams.
     void removed(const Entry &it);
 
     int ejectedCount() const { return m_ejected; }
--- a/src/Decide/IdleTrust.h
+++ b/src/Decide/IdleTrust.h
@@ -12,8 +12,8 @@
 ///
 /// A dropped connection costs one call, or one retry of a retryable call. The limit is then set to
 /// half of the idle time at which it was dropped, and doubles again after each period without a
-/// dropped connection. Retryable requests use twice the limit, so that they detect a longer or
-/// shorter idle timeout of the replica before other requests do.
+/// dropped connection. Retryable requests use twice the limit, so that they are the first to
+/// hit a dropped connection.
 class IdleTrust
 {
 public:
--- a/src/Decide/LoadShedder.cpp
+++ b/src/Decide/LoadShedder.cpp
@@ -8,24 +8,25 @@
 
 using namespace std::chrono_literals;
 
-/// A call may wait for this part of its target; its own work, the way, and what the queues grow by
-/// until all routers have heard of them need the rest. With half of it, short bursts that all would
-/// have been on time are held back too.
+/// Share of the target latency that a call may wait in the queue. The rest is for its service time,
+/// the round trip, and the growth of the queues until all routers have received a report of them.
+/// With half of this value short bursts would be shed although all their calls would be on time.
 constexpr double WaitPart = 0.35;
 
-/// Steps of the share for each answer. Of 69 routers each gets three answers a second, so steps
-/// have to be large: with tenths of these the queues swing between empty and late, and of 250 calls
-/// a second before places for 200 two fifths are on time instead of three quarters.
+/// Change of the share per answer. Each of 69 routers gets only three answers per second, so the
+/// steps have to be large: with a tenth of these values the queues oscillate between empty and too
+/// long, and of 250 calls per second to a capacity of 200 two fifths are on time instead of three
+/// quarters.
 constexpr double Decrease = 0.7;
 constexpr double Increase = 0.1;
 
-/// Some calls always go, to find out whether the service is still full.
+/// A part of the calls is always sent, to detect that the service is no longer full.
 constexpr double MinShare = 0.2;
 
-/// What a replica said is of use for so long: queues of 100 ms are gone by then.
+/// Time after which the report of a replica is discarded: queues of 100 ms have drained by then.
 constexpr Duration HeardLife = 1500ms;
 
-/// Without a full answer for so long the service is not full any more.
+/// Time without a report of a full queue after which the service is no longer considered full.
 constexpr Duration FullLife = 2s;
 
 constexpr double Smoothing = 0.1;
@@ -39,28 +40,28 @@
     return m_share >= 1 || uniform(m_options.random) < m_share;
 }
 
-void LoadShedder::answered(const std::string &replica, const ReplicaLoad &load, Duration took,
+void LoadShedder::answered(const std::string &replica, const ReplicaLoad &load, Duration latency,
                            Duration target, std::size_t usable)
 {
     const double slots = std::max(1, load.slots);
     if (load.waiting == 0) {
-        const double seconds = toSeconds(took);
+        const double seconds = toSeconds(latency);
         m_serviceSeconds = m_serviceSeconds == 0
                 ? seconds
                 : m_serviceSeconds + Smoothing * (seconds - m_serviceSeconds);
     }
-    // Where it always waits, the work of one call is what it took less its share of the queue.
-    const double service =
-            m_serviceSeconds > 0 ? m_serviceSeconds : toSeconds(took) / (1 + load.waiting / slots);
-    note(replica, load.waiting / slots * service > WaitPart * toSeconds(target), usable);
+    // If all calls wait, the service time is derived from the latency and the length of the queue.
+    const double service = m_serviceSeconds > 0 ? m_serviceSeconds
+                                                : toSeconds(latency) / (1 + load.waiting / slots);
+    update(replica, load.waiting / slots * service > WaitPart * toSeconds(target), usable);
 }
 
 void LoadShedder::refused(const std::string &replica, std::size_t usable)
 {
-    note(replica, true, usable);
+    update(replica, true, usable);
 }
 
-void LoadShedder::note(const std::string &replica, bool full, std::size_t usable)
+void LoadShedder::update(const std::string &replica, bool full, std::size_t usable)
 {
     const TimePoint now = m_options.clock.now();
     std::erase_if(m_heard, [=](const auto &it) { return now - it.second.at > HeardLife; });
@@ -75,7 +76,7 @@
 
 bool LoadShedder::allAreFull(std::size_t usable) const
 {
-    // A router may not have heard of each one lately; of most it must have.
+    // Requires recent reports from more than half of the replicas; a router need not have all.
     return 2 * m_heard.size() > usable
             && std::all_of(m_heard.begin(), m_heard.end(),
                            [](const auto &it) { return it.second.full; });
--- a/src/Decide/LoadShedder.h
+++ b/src/Decide/LoadShedder.h
@@ -9,7 +9,7 @@
 
 namespace catkinloft {
 
-/// \brief How busy a replica was when it answered, as it said.
+/// \brief Load of a replica as reported with an answer.
 struct ReplicaLoad
 {
     int running = 0;
@@ -17,17 +17,18 @@
     int slots = 1;
 };
 
-/// \brief Which share of the calls of a plain service is sent, while it gets more than it can do.
+/// \brief Determines the share of calls to a plain service that is sent while it is overloaded.
 ///
-/// Load: a service that has lost replicas, or is called more than usual, on routers of which each
-/// sees a few calls a second. Harm prevented: the queues of its replicas stay full, each call waits
-/// in them until it is late, and those that find no room are sent from one to the next. With a
-/// share refused at once, the rest is on time.
+/// Handles a service that has lost replicas or gets more calls than usual, with many routers that
+/// each see a few calls per second. Without load shedding the queues of the replicas stay full,
+/// each call waits in them until it is late, and calls that find a queue full are sent from one
+/// replica to the next. If a share of the calls is refused immediately, the others are on time.
 ///
-/// Replicas tell how many wait with each answer. No router knows the sum of all calls, so each
-/// holds back on its own: additive increase and multiplicative decrease of the share that it sends
-/// settle where the queues are as long as a call may wait, without a message between routers. A
-/// service with one idle replica is not full, so that uneven placement sheds nothing.
+/// Replicas report the length of their queue with each answer. No router knows the total number of
+/// calls, so each adjusts the share that it sends on its own by additive increase and
+/// multiplicative decrease. This converges, without messages between routers, to queues as long as
+/// a call may wait. A service with one idle replica is not full, so uneven placement causes no
+/// shedding.
 class LoadShedder
 {
 public:
@@ -39,36 +40,38 @@
 
     explicit LoadShedder(Options options) : m_options(std::move(options)) { }
 
-    /// \returns whether one more call should be sent.
+    /// \returns whether the next call should be sent; if not, it is refused.
     bool admits();
 
-    /// \returns whether calls are being held back; then none that has run should be sent again.
+    /// \returns whether calls are being shed; then no call that has run should be retried.
     bool isShedding() const { return m_share < 1; }
 
-    /// \brief Takes note of an answer. \param took from sending to the end. \param target within
-    /// which an answer is on time. \param usable replicas that calls may be sent to.
-    void answered(const std::string &replica, const ReplicaLoad &load, Duration took,
+    /// \brief Updates the share after an answer.
+    /// \param latency time from sending the call to the end of the answer.
+    /// \param target latency up to which an answer is on time.
+    /// \param usable number of replicas that calls may be sent to.
+    void answered(const std::string &replica, const ReplicaLoad &load, Duration latency,
                   Duration target, std::size_t usable);
 
-    /// \brief Takes note that \a replica had no room for a call.
+    /// \brief Updates the share after \a replica refused a call because its queue is full.
     void refused(const std::string &replica, std::size_t usable);
 
-    /// \returns the share of calls that is sent.
+    /// \returns the share of calls that is sent, above 0 and at most 1.
     double share() const { return m_share; }
 
 private:
     struct Heard
     {
         TimePoint at;
-        bool full = false; ///< A call that came then would be late.
+        bool full = false; ///< A call that arrived at that time would be late.
     };
 
-    void note(const std::string &replica, bool full, std::size_t usable);
+    void update(const std::string &replica, bool full, std::size_t usable);
     bool allAreFull(std::size_t usable) const;
 
     Options m_options;
     double m_share = 1;
-    double m_serviceSeconds = 0; ///< Of a call that did not wait, moving average; 0: not known.
+    double m_serviceSeconds = 0; ///< Moving average of calls that did not wait; 0: unknown.
     std::map<std::string, Heard> m_heard; ///< By replica.
     TimePoint m_fullAt = {};
 };
--- a/src/Decide/PromptIndex.cpp
+++ b/src/Decide/PromptIndex.cpp
@@ -25,14 +25,14 @@
 }
 
 std::unordered_map<std::uint64_t, std::vector<std::uint64_t>>
-PromptIndex::partsByReplica(std::size_t most) const
+PromptIndex::partsByReplica(std::size_t maxPerReplica) const
 {
     const TimePoint oldest = m_options.clock.now() - m_options.life;
     std::unordered_map<std::uint64_t, std::vector<std::uint64_t>> out;
     for (const auto &[part, list] : m_holders) {
         for (const Holder &it : list) {
             std::vector<std::uint64_t> &parts = out[it.replica];
-            if (it.usedAt >= oldest && parts.size() < most)
+            if (it.usedAt >= oldest && parts.size() < maxPerReplica)
                 parts.push_back(part);
         }
     }
@@ -45,11 +45,11 @@
     double out = 0;
     for (const PromptPart &part : prompt) {
         const auto list = m_holders.find(part.id);
-        const bool kept = list != m_holders.end()
+        const bool cached = list != m_holders.end()
                 && std::any_of(list->second.begin(), list->second.end(), [&](const Holder &it) {
-                              return it.replica == replica && it.usedAt >= oldest;
-                          });
-        if (!kept)
+                                return it.replica == replica && it.usedAt >= oldest;
+                            });
+        if (!cached)
             break;
         out += part.tokens;
     }
@@ -62,7 +62,7 @@
     for (auto &[part, list] : m_holders)
         std::erase_if(list, [=](const Holder &it) { return it.usedAt < oldest; });
     std::erase_if(m_holders, [](const auto &it) { return it.second.empty(); });
-    // All are in use: hints may be lost, memory may not grow.
+    // All entries are in use. They are only hints and may be lost, but memory must not grow.
     if (m_holders.size() >= m_options.maxParts)
         m_holders.clear();
 }
--- a/src/Decide/PromptIndex.h
+++ b/src/Decide/PromptIndex.h
@@ -10,50 +10,50 @@
 
 namespace catkinloft {
 
-/// \brief One part of a prompt that requests may share.
+/// \brief Part of a prompt that several requests may have in common.
 struct PromptPart
 {
     std::uint64_t id = 0;
     double tokens = 0;
 };
 
-/// \brief Which replicas are likely to keep which parts of prompts in memory, from where requests
-/// were sent.
+/// \brief Estimates which prompt parts each replica has cached, from the requests that were sent to
+/// it.
 ///
-/// Load: chats that return within seconds, on routers that each send a part of their requests and
-/// tell the others about it. Harm prevented: a prompt that goes to a replica without its parts is
-/// read again, which takes 130 ms of that replica for 10,500 tokens. A wrong entry costs that
-/// reading and nothing else.
+/// Handles chats that return within seconds, while each router sends only a part of their requests
+/// and announces the parts to the others. Prevents that a prompt is sent to a replica that has to
+/// process it again, which takes 130 ms of that replica for 10,500 tokens. A wrong entry costs this
+/// time and has no other effect.
 class PromptIndex
 {
 public:
     struct Options
     {
         const Clock &clock;
-        /// A part that was not used for so long may have made room for others.
+        /// Time after its last use at which a part may have been evicted from the replica's cache.
         Duration life = std::chrono::seconds(60);
-        std::size_t maxParts = 20'000; ///< Bounds memory to a few megabytes.
+        std::size_t maxParts = 20'000; ///< Limits memory to a few megabytes.
     };
 
     explicit PromptIndex(Options options) : m_options(options) { }
 
-    /// \brief Notes that \a replica reads or has read \a part.
+    /// \brief Records that \a replica processes or has processed \a part now.
     void note(std::uint64_t replica, std::uint64_t part);
 
-    /// \returns the parts that replicas are likely to keep, at most \a most for each. One pass:
-    /// with 140 replicas and 20,000 parts it takes 2 ms, a search for each replica a hundred times
-    /// that.
+    /// \returns the parts that each replica has probably cached, at most \a maxPerReplica for each.
+    /// Uses one pass over all parts: with 140 replicas and 20,000 parts it takes 2 ms; a separate
+    /// search per replica takes a hundred times as long.
     std::unordered_map<std::uint64_t, std::vector<std::uint64_t>>
-    partsByReplica(std::size_t most) const;
+    partsByReplica(std::size_t maxPerReplica) const;
 
-    /// \returns whether nothing is known.
+    /// \returns whether there are no entries.
     bool isEmpty() const { return m_holders.empty(); }
 
-    /// \brief Forgets a replica that is gone or has lost its memory.
+    /// \brief Removes a replica that is gone or has lost its cache.
     void remove(std::uint64_t replica);
 
-    /// \returns tokens at the beginning of \a prompt that \a replica is likely to keep. A part only
-    /// counts if all parts before it are kept too.
+    /// \returns the number of tokens at the beginning of \a prompt that \a replica has probably
+    /// cached. A part counts only if all parts before it are cached too.
     double cachedTokens(std::uint64_t replica, std::span<const PromptPart> prompt) const;
 
 private:
--- a/src/Decide/RepeatBudget.h
+++ b/src/Decide/RepeatBudget.h
@@ -11,10 +11,10 @@
 /// the routers.
 ///
 /// Handles a service that fails many requests at once on every router. Prevents retries from
-/// multiplying the traffic while the service is overloaded. The limit over all routers is a share of
-/// the requests plus a fixed slack in any window. Each router limits itself to that share of its own
-/// requests and to its part of the slack, so the fleet stays within the limit also while routers
-/// receive no messages from each other.
+/// multiplying the traffic while the service is overloaded. The limit over all routers is a share
+/// of the requests plus a fixed slack in any window. Each router limits itself to that share of its
+/// own requests and to its part of the slack, so the fleet stays within the limit also while
+/// routers receive no messages from each other.
 class RepeatBudget
 {
 public:
@@ -23,7 +23,8 @@
         const Clock &clock;
         double share = 0.2; ///< Retries allowed per request, over all routers.
         double slack = 0; ///< Additional retries allowed per window, over all routers.
-        Duration window = std::chrono::seconds(10); ///< The limit holds in any interval of this length.
+        Duration window =
+                std::chrono::seconds(10); ///< The limit holds in any interval of this length.
     };
 
     explicit RepeatBudget(Options options) : m_options(options) { }
