--- a/src/Decide/HealthTracker.cpp
+++ b/src/Decide/HealthTracker.cpp
@@ -12,13 +12,13 @@
 /// upstream.
 constexpr double Smoothing = 0.1;
 constexpr int MinSamples = 10;
-constexpr int MaxFailuresInRow = 3; ///< A crashed engine fails at most three requests.
+constexpr int MaxFailuresInRow = 3; ///< A crashed engine is ejected after three requests.
 constexpr double MaxErrorRate = 0.5;
 constexpr double MaxCostRatio = 3; ///< Mixed prompt lengths alone stay below twice the median.
 constexpr Duration FirstEjection = 5s;
 constexpr Duration FirstRamp = 10s;
 constexpr int MaxSetbacks = 4; ///< Limits an ejection to 80 s and a slow start to 160 s.
-constexpr double MinRamp = 0.1; ///< Without any requests an engine could not prove to be healthy.
+constexpr double MinRamp = 0.1; ///< Without requests an engine could not show that it is healthy.
 
 bool countsAgainstUpstream(const AttemptReport &report)
 {
@@ -111,7 +111,7 @@
 void HealthTracker::updateBaseline(std::vector<double> costs)
 {
     if (costs.size() < 3)
-        return; // With two upstreams the median cannot tell which one is the outlier.
+        return; // Of two upstreams neither can be called the outlier.
     const auto middle = costs.begin() + static_cast<std::ptrdiff_t>(costs.size() / 2);
     std::nth_element(costs.begin(), middle, costs.end());
     m_medianCost = *middle;
--- a/src/Decide/ReplicaPool.cpp
+++ b/src/Decide/ReplicaPool.cpp
@@ -18,72 +18,77 @@
 
 using namespace std::chrono_literals;
 
-/// A replica with more than this multiple of the mean, and LoadSlack, gets no prompt for what it
-/// keeps of it. Twice the mean and three is the most that the users allow; the rest is left for
-/// counts that are not known yet.
+/// A replica above this multiple of the mean load plus LoadSlack gets no prompt, even if it has
+/// cached it. Users allow at most twice the mean plus three; the margin is for requests of other
+/// routers that are not known here yet.
 constexpr double MaxLoadRatio = 1.7;
 
-/// Requests above the ratio that are always allowed: with a mean of one, a ratio alone would move
-/// every second prompt.
+/// Requests above the ratio that are always allowed: with a mean load of one, a ratio alone would
+/// move every second prompt.
 constexpr double LoadSlack = 1.5;
 
-/// What one request above the mean costs those that run beside it, in tokens to be read: it makes
-/// their steps 2% longer, about 2 ms for each in the time of reading 150 tokens.
+/// Cost of one request above the mean load for the other requests on the replica, in tokens to
+/// process: it makes their decoding steps 2% longer, about 2 ms for each of them, the time in which
+/// 150 tokens are processed.
 constexpr double TokensPerRequest = 150;
 
-/// Costs that differ by less are equal, and the rendezvous order decides: this part of the prompt,
-/// and at least so many tokens.
+/// Costs that differ by less than this share of the prompt, or by less than EqualTokens, count as
+/// equal; then the rendezvous order decides.
 constexpr double EqualPart = 0.1;
 constexpr double EqualTokens = 100;
 
-/// A prompt that is kept nowhere, or by several, goes to the second of its order where the first
-/// has this many more requests. Two choices spread 25 long chats over nine engines so that fewer
-/// have to be copied later; a smaller gap would make routers disagree on counts that are 250 ms
-/// old.
+/// Among replicas of equal cost, the second in rendezvous order is chosen if the first has more
+/// than this number of additional requests. Two choices distribute a small number of long chats
+/// more evenly, so that fewer have to be copied later. With a smaller gap routers would choose
+/// differently because their counts of each other's requests are up to 250 ms old.
 constexpr double SecondChoiceGap = 2;
 
-/// A copy of fewer tokens costs more in its own exchange than reading them.
+/// Copying fewer tokens takes longer for the exchange itself than processing them.
 constexpr double MinCopiedTokens = 64;
 
-/// Counts of a router that was not heard for so long say nothing about now; twice the slowest
-/// pause between two of its messages.
+/// Age at which the update of a router is discarded as outdated: twice the longest interval between
+/// two of its heartbeats.
 constexpr Duration CountsLife = 3s;
 
-/// How often routers that fell silent are looked for.
+/// Interval at which updates are checked for their age.
 constexpr Duration ForgetInterval = 500ms;
 
-/// Other routers that have to have ejected a replica before it gets nothing here. One may be cut
-/// off from it alone, and where one call in seven fails by itself a router ejects a sound replica
-/// every fifty seconds; three at once are a fault of the replica.
+/// Number of other routers that must have ejected a replica before it gets no requests from this
+/// one. A single router may be cut off from the replica, and if one call in seven fails for other
+/// reasons, a router ejects a healthy replica every fifty seconds; three ejections at the same time
+/// indicate a fault of the replica.
 constexpr int MinEjectors = 3;
 
-/// A good answer in so short a time goes before what the others say.
+/// Time during which an own successful answer takes precedence over ejections by other routers.
 constexpr Duration OwnEvidenceLife = 2s;
 
-/// How long an ejected replica waits for a call that may be repeated to try it. Where there is none
-/// by then, one that may not be is sent: the loss of one call, instead of a replica for good.
+/// Time for which only retryable calls probe a half-open replica. If there was none, a call that is
+/// not retryable is sent afterwards: this may lose one call, but otherwise the replica would stay
+/// ejected.
 constexpr Duration ProbeGrace = 5s;
 
-/// Ejected replicas that one beat tells of, 15 bytes each. Of 28 silent engines a router ejects
-/// some six itself before it hears of the others.
+/// Maximum number of ejected replicas in one update, 15 bytes each. It may be less than the number
+/// of failing replicas, because a router ejects only some of them itself (6 of 28) before it
+/// receives the ejections of the others.
 constexpr std::size_t MaxToldEjected = 16;
 
-/// How often the usual cost of a call is worked out anew.
+/// Interval at which the median cost of a call is recomputed.
 constexpr Duration BaselineInterval = 1s;
 
-/// A call stays in its failure domain unless another domain's replica has this much less in
-/// progress: leaving costs a millisecond, waiting behind another request costs its service time.
+/// Factor on the cost of replicas in this router's failure domain. A call leaves the domain only
+/// for a replica with less load: leaving costs a millisecond, waiting behind another request costs
+/// its service time.
 constexpr double DomainBonus = 0.9;
 
-/// How long an entry may be behind its replica: a heartbeat, a read of the store, and the telling.
+/// Maximum delay of a registry entry behind its replica: a heartbeat, a read of the store, and the
+/// propagation to the routers.
 constexpr Duration EntryLag = 3s;
 
-/// How long a replica that was away counts as cold if it answers again: it is left out for some of
-/// that time, and its entry is behind for the rest.
+/// Time for which a replica that was unreachable is assumed to be cold: for a part of it the
+/// replica is excluded, for the rest its registry entry may be outdated.
 constexpr Duration AwayCold = 6s;
 
-/// How long it is kept whether this router may send to a cold replica: it takes a look at all
-/// routers.
+/// Time for which isColdSender is cached, since computing it visits all routers.
 constexpr Duration SenderLife = 500ms;
 
 bool contains(std::span<const std::string> ids, const std::string &id)
@@ -115,11 +120,12 @@
             known->incarnation.clear();
         } else {
             const std::uint64_t hash = hash64(incarnation);
-            const auto pause = m_pauses.find(incarnation);
+            const auto exclusion = m_pauses.find(incarnation);
             next.push_back({.record = it,
                             .incarnation = std::move(incarnation),
                             .hash = hash,
-                            .leftOutUntil = pause == m_pauses.end() ? TimePoint() : pause->second});
+                            .leftOutUntil =
+                                    exclusion == m_pauses.end() ? TimePoint() : exclusion->second});
         }
     }
     const TimePoint now = m_options.clock.now();
@@ -141,20 +147,20 @@
     m_index.clear();
     for (std::size_t i = 0; i < m_states.size(); ++i) {
         m_index.emplace(m_states[i].incarnation, i);
-        m_states[i].others = 0;
+        m_states[i].peersInProgress = 0;
         m_states[i].ejectedBy = 0;
     }
-    for (const auto &[router, heard] : m_heard)
-        add(heard.news, 1);
+    for (const auto &[router, received] : m_heard)
+        add(received.update, 1);
 }
 
-void ReplicaPool::setNews(const std::string &router, ReplicaNews news, TimePoint heard)
+void ReplicaPool::setNews(const std::string &router, ReplicaNews update, TimePoint receivedAt)
 {
     forgetSilent();
     Heard &known = m_heard[router];
-    add(known.news, -1);
-    known = {std::move(news), heard};
-    add(known.news, 1);
+    add(known.update, -1);
+    known = {std::move(update), receivedAt};
+    add(known.update, 1);
 }
 
 void ReplicaPool::forgetSilent()
@@ -164,20 +170,20 @@
         return;
     m_forgotAt = now;
     for (auto it = m_heard.begin(); it != m_heard.end();) {
-        const bool silent = now - it->second.at > CountsLife;
-        if (silent)
-            add(it->second.news, -1);
-        it = silent ? m_heard.erase(it) : std::next(it);
+        const bool expired = now - it->second.receivedAt > CountsLife;
+        if (expired)
+            add(it->second.update, -1);
+        it = expired ? m_heard.erase(it) : std::next(it);
     }
 }
 
-void ReplicaPool::add(const ReplicaNews &news, int sign)
+void ReplicaPool::add(const ReplicaNews &update, int sign)
 {
-    for (const auto &[id, n] : news.counts) {
+    for (const auto &[id, n] : update.counts) {
         if (State *it = find(id))
-            it->others += sign * n;
+            it->peersInProgress += sign * n;
     }
-    for (const std::string &id : news.ejected) {
+    for (const std::string &id : update.ejected) {
         if (State *it = find(id))
             it->ejectedBy += sign;
     }
@@ -187,7 +193,7 @@
 {
     updateBaseline();
     std::vector<Candidate> list = candidates(query, true);
-    // Where all look bad, one that looks bad is better than none.
+    // If all replicas look unhealthy, an unhealthy one is better than none.
     if (list.empty())
         list = candidates(query, false);
     if (list.empty())
@@ -206,7 +212,7 @@
 {
     return {.replica = &it.record,
             .copyFrom = prompt.empty() ? nullptr : copySource(it, prompt),
-            .load = it.own + it.others,
+            .load = it.ownInProgress + it.peersInProgress,
             .meanLoad = total / static_cast<double>(n),
             .candidates = static_cast<int>(n),
             .keptTokens = m_prompts.cachedTokens(it.hash, prompt)};
@@ -223,7 +229,7 @@
             continue;
         if (regardHealth && !isAdmitted(it, query, regardNews))
             continue;
-        out.push_back({&it, static_cast<double>(it.own + it.others), 0});
+        out.push_back({&it, static_cast<double>(it.ownInProgress + it.peersInProgress), 0});
     }
     return out;
 }
@@ -268,12 +274,12 @@
 {
     if (m_coldLimit <= 0 || now >= std::max(it.record.coldUntil, it.maybeColdUntil))
         return false;
-    const ColdPace pace = ColdPace::shareOf(m_coldLimit, m_options.routers());
+    const ColdPace limit = ColdPace::shareOf(m_coldLimit, m_options.routers());
     if (it.senderCheckedAt == TimePoint::min() || now - it.senderCheckedAt >= SenderLife) {
         it.senderCheckedAt = now;
-        it.isColdSender = m_options.isColdSender(it.incarnation, pace.senders);
+        it.isColdSender = m_options.isColdSender(it.incarnation, limit.senders);
     }
-    return !it.isColdSender || (it.sentAt != TimePoint::min() && now - it.sentAt < pace.spacing);
+    return !it.isColdSender || (it.sentAt != TimePoint::min() && now - it.sentAt < limit.spacing);
 }
 
 bool ReplicaPool::isAdmitted(State &it, const Query &query, bool regardNews)
@@ -314,14 +320,14 @@
     std::erase_if(list, [=](const Candidate &it) {
         return it.load + 1 > mean * MaxLoadRatio + LoadSlack;
     });
-    double least = std::numeric_limits<double>::max();
+    double minCost = std::numeric_limits<double>::max();
     for (Candidate &it : list) {
         it.cost = tokens - m_prompts.cachedTokens(it.state->hash, prompt)
                 + TokensPerRequest * std::max(0.0, it.load - mean);
-        least = std::min(least, it.cost);
+        minCost = std::min(minCost, it.cost);
     }
-    const double equal = least + std::max(EqualTokens, EqualPart * tokens);
-    std::erase_if(list, [=](const Candidate &it) { return it.cost > equal; });
+    const double maxCost = minCost + std::max(EqualTokens, EqualPart * tokens);
+    std::erase_if(list, [=](const Candidate &it) { return it.cost > maxCost; });
     return firstOrSecond(list, prompt.back().id);
 }
 
@@ -342,8 +348,8 @@
             secondScore = score;
         }
     }
-    const bool crowded = second && first->load > second->load + SecondChoiceGap;
-    return crowded ? second->state : first->state;
+    const bool firstIsBusier = second && first->load > second->load + SecondChoiceGap;
+    return firstIsBusier ? second->state : first->state;
 }
 
 const ReplicaRecord *ReplicaPool::copySource(const State &target,
@@ -353,14 +359,14 @@
         return nullptr;
     const TimePoint now = m_options.clock.now();
     const ReplicaRecord *best = nullptr;
-    double most = m_prompts.cachedTokens(target.hash, prompt) + MinCopiedTokens;
+    double bestTokens = m_prompts.cachedTokens(target.hash, prompt) + MinCopiedTokens;
     for (const State &it : m_states) {
         if (&it == &target || now < it.leftOutUntil)
             continue;
         const double tokens = m_prompts.cachedTokens(it.hash, prompt);
-        if (tokens > most) {
+        if (tokens > bestTokens) {
             best = &it.record;
-            most = tokens;
+            bestTokens = tokens;
         }
     }
     return best;
@@ -371,11 +377,12 @@
     State *best = nullptr;
     double bestCost = 0;
     for (const Candidate &it : list) {
-        const bool near = it.state->record.failureDomain == m_options.failureDomain;
+        const bool isLocal = it.state->record.failureDomain == m_options.failureDomain;
         const double share = (it.load + 1) / std::max(1, it.state->record.slots);
-        // Routers that all hear the same counts would otherwise all take the same replica.
+        // The random factor prevents all routers with the same counts from choosing the same
+        // replica.
         const double cost =
-                share * (near ? DomainBonus : 1) * (1 + 0.05 * uniform(m_options.random));
+                share * (isLocal ? DomainBonus : 1) * (1 + 0.05 * uniform(m_options.random));
         if (!best || cost < bestCost) {
             best = it.state;
             bestCost = cost;
@@ -387,7 +394,8 @@
 void ReplicaPool::updateBaseline()
 {
     const TimePoint now = m_options.clock.now();
-    // Prompts differ by more than a slow engine does, so engines are judged by failures only.
+    // Prompts differ in cost by more than a slow engine does, so engines are ejected only for
+    // failures.
     if (m_options.isEngine || now - m_baselineAt < BaselineInterval)
         return;
     m_baselineAt = now;
@@ -404,7 +412,7 @@
     State *it = find(id);
     if (!it)
         return;
-    ++it->own;
+    ++it->ownInProgress;
     it->sentAt = m_options.clock.now();
     it->health.probing = it->health.state == HealthTracker::State::HalfOpen;
     for (const PromptPart &part : prompt)
@@ -420,14 +428,14 @@
         m_prompts.note(it->hash, part);
 }
 
-PromptsByReplica ReplicaPool::prompts(std::size_t most) const
+PromptsByReplica ReplicaPool::prompts(std::size_t maxParts) const
 {
     PromptsByReplica out;
-    auto parts = m_prompts.partsByReplica(most / std::max<std::size_t>(1, m_states.size()));
+    auto parts = m_prompts.partsByReplica(maxParts / std::max<std::size_t>(1, m_states.size()));
     for (const State &it : m_states) {
-        const auto kept = parts.find(it.hash);
-        if (kept != parts.end() && !kept->second.empty())
-            out.emplace(it.incarnation, std::move(kept->second));
+        const auto cached = parts.find(it.hash);
+        if (cached != parts.end() && !cached->second.empty())
+            out.emplace(it.incarnation, std::move(cached->second));
     }
     return out;
 }
@@ -437,7 +445,7 @@
     State *it = find(id);
     if (!it)
         return false;
-    it->own = std::max(0, it->own - 1);
+    it->ownInProgress = std::max(0, it->ownInProgress - 1);
     if (!report.succeeded && (report.reason == Reason::CallerGone || report.blameless)) {
         it->health.probing = false;
         return false;
@@ -446,10 +454,10 @@
     if (report.succeeded)
         it->answeredAt = now;
     bool changed = m_health.record(it->health, 1, report, m_states.size(), now);
-    // A router sends each of 140 engines a request in twelve seconds; it can't wait for a third
-    // one.
-    const bool silent = !report.succeeded && report.reason == Reason::UpstreamTimeout;
-    if (m_options.isEngine && silent)
+    // With 140 engines a router sends each of them only one request in twelve seconds, so waiting
+    // for a third timeout would take too long.
+    const bool timedOut = !report.succeeded && report.reason == Reason::UpstreamTimeout;
+    if (m_options.isEngine && timedOut)
         changed = m_health.ejectAtOnce(it->health, m_states.size(), now) || changed;
     if (!changed)
         return false;
@@ -464,10 +472,10 @@
     return ejected;
 }
 
-void ReplicaPool::leaveOut(std::string_view id, Duration pause)
+void ReplicaPool::leaveOut(std::string_view id, Duration duration)
 {
     if (State *it = find(id))
-        it->leftOutUntil = std::max(it->leftOutUntil, m_options.clock.now() + pause);
+        it->leftOutUntil = std::max(it->leftOutUntil, m_options.clock.now() + duration);
 }
 
 Duration ReplicaPool::untilReturn() const
@@ -486,8 +494,8 @@
     const TimePoint now = m_options.clock.now();
     ReplicaNews out;
     for (const State &it : m_states) {
-        if (it.own > 0)
-            out.counts.emplace(it.incarnation, it.own);
+        if (it.ownInProgress > 0)
+            out.counts.emplace(it.incarnation, it.ownInProgress);
         if (it.health.state == HealthTracker::State::Ejected && now < it.health.ejectedUntil
             && out.ejected.size() < MaxToldEjected)
             out.ejected.push_back(it.incarnation);
@@ -498,7 +506,7 @@
 int ReplicaPool::inProgress(std::string_view id) const
 {
     const State *it = find(id);
-    return it ? it->own + it->others : 0;
+    return it ? it->ownInProgress + it->peersInProgress : 0;
 }
 
 bool ReplicaPool::isServing(std::string_view id) const
--- a/src/Decide/ReplicaPool.h
+++ b/src/Decide/ReplicaPool.h
@@ -18,47 +18,54 @@
 
 namespace catkinloft {
 
-/// \brief Parts of prompts by incarnation of a replica.
+/// \brief Cached prompt parts by incarnation of a replica.
 using PromptsByReplica = std::map<std::string, std::vector<std::uint64_t>, std::less<>>;
 
 /// \brief Requests in progress by incarnation of a replica.
 using ReplicaCounts = std::map<std::string, int, std::less<>>;
 
-/// \brief What one router tells the others of replicas.
+/// \brief What one router announces to the others about replicas.
 struct ReplicaNews
 {
-    std::vector<std::string> leaving =
-            {}; ///< Incarnations that have told the router that they leave.
-    ReplicaCounts counts = {}; ///< Its requests in progress, without replicas that have none.
-    std::vector<std::string> ejected = {}; ///< Incarnations that it sends nothing to: they fail.
+    /// Incarnations that have notified the router that they are leaving.
+    std::vector<std::string> leaving = {};
+    /// Requests in progress from the router; replicas without any are omitted.
+    ReplicaCounts counts = {};
+    /// Incarnations that the router has ejected because they fail.
+    std::vector<std::string> ejected = {};
 };
 
-/// \brief Which replica of one service gets a request.
+/// \brief Chooses the replica of one service that a request is sent to.
 ///
-/// Load: returning chats whose prompts share long parts, and short calls, on routers that each see
-/// a share of both. Harm prevented: a replica with more than twice the mean delays every token of
-/// the requests that run on it, while a chat that moves has its whole prompt read again (130 ms of
-/// a replica for 10,500 tokens at 81.9 tokens a millisecond). So a prompt goes where most of it is
-/// kept, within a bound on the load; where several are equal, its rendezvous order decides, so that
-/// routers agree before they have heard of each other's choices. A prompt that has to move names
-/// the replica that keeps it: copying 10,500 tokens takes 3 ms of a link instead of reading them.
-/// A call goes where least is in progress.
+/// Handles returning chats whose prompts have long parts in common, and short calls, on routers
+/// that each see a share of both. Prevents two kinds of delay: a replica with more than twice the
+/// mean load delays every token of the requests that run on it, and a chat that moves to another
+/// replica has its whole prompt processed again (130 ms of a replica for 10,500 tokens at 81.9
+/// tokens a millisecond). Therefore a prompt is sent to the replica that has cached most of it,
+/// within a limit on the load. Among equal replicas the rendezvous order of the prompt decides, so
+/// that routers agree before they have received each other's choices. If a prompt has to move, the
+/// choice names the replica that has cached it: copying 10,500 tokens occupies a link for 3 ms,
+/// much less than processing them again takes. A call is sent to the replica with the fewest
+/// requests in progress.
 ///
-/// Replicas are told apart by incarnation(): one that starts again under its id holds nothing, and
-/// what was known of its health, load and prompts would mislead.
+/// Replicas are identified by incarnation(): a replica that restarts under the same id has an empty
+/// cache, and the former health, load and prompts do not apply to it.
 ///
-/// Counts of the other routers are some hundred milliseconds old. They are hints: a wrong one makes
-/// a request slower and breaks no promise.
+/// Request counts of the other routers are a few hundred milliseconds old. They are only hints: a
+/// wrong count makes a request slower, but has no effect on correctness.
 ///
-/// A replica that fails is found by each router after three failures in a row. Where each router
-/// sends it one call a second, that costs 73 routers some 220 calls, so they tell each other: what
-/// three others have ejected gets nothing here either, unless it has just answered well here, since
-/// it may fail for some callers only. Calls that may be repeated find out whether it is well again.
-/// A replica in an evacuated failure domain gets nothing on any way; a cold one no more than its
-/// share of what it bears, \sa ColdPace. Both hold where no other replica is left.
+/// Each router ejects a failing replica after three failures in a row. If each of 73 routers sends
+/// it one call per second, this costs about 220 calls, so routers announce their ejections. A
+/// replica that three other routers have ejected gets no requests from this one either, unless it
+/// has just answered successfully here, since it may fail only for some callers. Retryable calls
+/// probe whether it has recovered.
 ///
-/// An engine that falls silent is ejected at its first overdue answer: of 28 silent ones among 140
-/// that halves the requests that are sent there in eight seconds.
+/// A replica in an evacuated failure domain gets no requests at all; a cold one at most this
+/// router's part of its rate limit, \sa ColdPace. Both rules apply also if no other replica is
+/// left.
+///
+/// An engine is ejected at its first timeout. A router sends each engine so few requests that
+/// waiting for a third timeout would about double the requests lost to unresponsive engines.
 class ReplicaPool
 {
 public:
@@ -66,104 +73,105 @@
     {
         const Clock &clock;
         RandomSource random;
-        std::string failureDomain = {}; ///< Of this router.
-        bool isEngine = false; ///< Replicas keep prompts in memory.
+        std::string failureDomain = {}; ///< Failure domain of this router.
+        bool isEngine = false; ///< Replicas have a prefix cache.
         Mechanisms mechanisms = {};
         std::function<std::string(const std::string &domain)> regionOf = [](const std::string &) {
             return std::string();
         };
-        std::function<int()> routers = [] { return 1; }; ///< How many there are.
-        /// Whether this router is one of the \a n that may send to \a replica while it is cold.
+        std::function<int()> routers = [] { return 1; }; ///< Number of routers in the fleet.
+        /// Whether this router is one of \a n routers that may send to \a replica while it is cold.
         std::function<bool(std::string_view replica, std::size_t n)> isColdSender =
                 [](std::string_view, std::size_t) { return true; };
     };
 
-    /// \brief What matters about a request.
+    /// \brief Properties of a request that the choice depends on.
     struct Query
     {
-        std::span<const PromptPart> prompt = {}; ///< Parts that other requests may share.
+        std::span<const PromptPart> prompt = {}; ///< Parts that other requests may have in common.
         std::span<const std::string> excluded = {}; ///< Incarnations on which an attempt failed.
-        std::span<const std::string> only = {}; ///< If not empty: no others may be chosen.
-        bool repeatable = true; ///< It may be sent once more where a replica fails it.
-        /// Regions of replicas that its route and its workspace allow; empty: all.
+        std::span<const std::string> only = {}; ///< If not empty: the only incarnations allowed.
+        bool repeatable = true; ///< The request may be retried after a failed attempt.
+        /// Regions of replicas that the route and the workspace allow; empty: all.
         std::span<const std::string> regions = {};
         std::span<const std::string> workspaceRegions = {};
     };
 
-    /// \brief Where a request goes.
+    /// \brief Result of choose().
     struct Choice
     {
-        const ReplicaRecord *replica = nullptr; ///< Null: none can take it.
-        const ReplicaRecord *copyFrom = nullptr; ///< Keeps more of the prompt; null: none does.
-        int load = 0; ///< Requests in progress on the replica, as far as known.
-        double meanLoad = 0; ///< Over the replicas that it was chosen from.
-        int candidates = 0; ///< How many those were.
-        double keptTokens = 0; ///< Of the prompt, that the replica is believed to keep.
+        const ReplicaRecord *replica = nullptr; ///< Null: no replica can take the request.
+        const ReplicaRecord *copyFrom = nullptr; ///< Has cached more of the prompt; null: none has.
+        int load = 0; ///< Known requests in progress on the replica.
+        double meanLoad = 0; ///< Mean load of the candidates.
+        int candidates = 0; ///< Number of replicas that the replica was chosen from.
+        double keptTokens = 0; ///< Estimate of the prompt's tokens that the replica has cached.
     };
 
     explicit ReplicaPool(Options options);
 
-    /// \brief Takes over the registered replicas; those that stay keep counts and health.
+    /// \brief Sets the registered replicas; known incarnations retain their counts and health.
     void setReplicas(std::span<const ReplicaRecord> replicas);
 
-    /// \brief Sends nothing more to replicas in \a domains. Those of domains that are taken back
-    /// count as cold until their entries can have told whether they are.
+    /// \brief Excludes all replicas in \a domains. Replicas of a domain that is no longer evacuated
+    /// are assumed to be cold until their registry entries are up to date.
     void setEvacuated(std::set<std::string> domains);
 
-    /// \brief Notes that replica \a id could not be reached or has ended: if it comes back, it is
-    /// cold before its entry says so.
+    /// \brief Records that replica \a id was unreachable or has terminated: if it returns, it is
+    /// assumed to be cold until its registry entry is up to date.
     void noteAway(std::string_view id);
 
-    /// \brief Sets the requests that a cold replica bears in one second from all routers together;
-    /// 0: replicas are never cold.
-    void setColdLimit(double requests) { m_coldLimit = requests; }
+    /// \brief Sets the rate limit of a cold replica, in requests per second from all routers
+    /// together; 0: no limit.
+    void setColdLimit(double requestsPerSecond) { m_coldLimit = requestsPerSecond; }
 
-    /// \brief Takes over what \a router told at \a heard.
-    void setNews(const std::string &router, ReplicaNews news, TimePoint heard);
+    /// \brief Replaces the last update of \a router by \a update.
+    void setNews(const std::string &router, ReplicaNews update, TimePoint receivedAt);
 
-    /// \returns the replica for \a query.
+    /// \returns the replica that a request with the properties \a query should be sent to.
     Choice choose(const Query &query);
 
-    /// \brief Counts a request that is being sent to replica \a id, which reads \a prompt.
+    /// \brief Counts a request with \a prompt that is being sent to replica \a id.
     void started(std::string_view id, std::span<const PromptPart> prompt = {});
 
-    /// \brief Notes that another router sent \a parts of a prompt to replica \a id.
+    /// \brief Records that another router sent \a parts of a prompt to replica \a id.
     void notePrompt(std::string_view id, std::span<const std::uint64_t> parts);
 
-    /// \returns parts of prompts by the id of the replica that is believed to keep them, at most
-    /// \a most in all.
-    PromptsByReplica prompts(std::size_t most) const;
+    /// \returns the prompt parts that each replica has probably cached, at most \a maxParts in
+    /// total.
+    PromptsByReplica prompts(std::size_t maxParts) const;
 
-    /// \returns whether nothing is known of prompts that replicas keep.
+    /// \returns whether no cached prompts of any replica are known.
     bool knowsNoPrompts() const { return m_prompts.isEmpty(); }
 
-    /// \brief Takes the count back and judges the replica by \a report.
-    /// \returns whether the replica was ejected by it, which the other routers should hear.
+    /// \brief Ends a request counted by started() and updates the replica's health by \a report.
+    /// \returns whether this ejected the replica; the ejection should then be announced.
     bool finished(std::string_view id, const AttemptReport &report);
 
-    /// \brief Leaves \a id out for \a pause, because it asked for that, refused a connection or is
-    /// another replica. A longer pause stays, also where its entry goes and comes back.
-    void leaveOut(std::string_view id, Duration pause);
+    /// \brief Excludes replica \a id for \a duration, because it requested a pause, refused a
+    /// connection, or its address belongs to another replica. A longer exclusion remains in effect,
+    /// also if the replica's entry is removed and added again.
+    void leaveOut(std::string_view id, Duration duration);
 
-    /// \returns how long all replicas that do not leave are still left out; zero where one is not,
-    /// or there is none.
+    /// \returns the time until the first serving replica is no longer excluded; zero if one is not
+    /// excluded or there is none.
     Duration untilReturn() const;
 
-    /// \returns what the other routers should know.
+    /// \returns the update that this router announces to the others.
     ReplicaNews ownNews() const;
 
-    /// \returns requests in progress on replica \a id over all routers, as far as known.
+    /// \returns the known requests in progress on replica \a id from all routers.
     int inProgress(std::string_view id) const;
 
     std::size_t size() const { return m_states.size(); }
 
-    /// \returns whether replica \a id is registered and has not said that it leaves.
+    /// \returns whether replica \a id is registered and not draining.
     bool isServing(std::string_view id) const;
 
-    /// \returns what registered replicas run, \sa ReplicaRecord::software
+    /// \returns the software of the registered replicas, \sa ReplicaRecord::software
     std::vector<std::string> software() const;
 
-    /// \returns replicas that are registered, not draining and not known to be unreachable.
+    /// \returns the number of replicas that are not draining, excluded or evacuated.
     std::size_t usableCount() const;
 
     const HealthTracker &health() const { return m_health; }
@@ -174,27 +182,27 @@
         ReplicaRecord record;
         std::string incarnation;
         std::uint64_t hash = 0;
-        int own = 0; ///< Requests in progress from this router.
-        int others = 0; ///< The same from the others, as last heard.
-        int ejectedBy = 0; ///< Other routers that have ejected it, as last heard.
-        TimePoint answeredAt = {}; ///< Its last good answer to this router.
+        int ownInProgress = 0; ///< Requests in progress from this router.
+        int peersInProgress = 0; ///< The same from the other routers, by their last updates.
+        int ejectedBy = 0; ///< Other routers that have ejected it, by their last updates.
+        TimePoint answeredAt = {}; ///< Last successful answer to this router.
         TimePoint leftOutUntil = {};
-        TimePoint maybeColdUntil = {}; ///< Its entry may not tell yet that it is.
-        TimePoint sentAt = TimePoint::min(); ///< The last request from this router.
+        TimePoint maybeColdUntil = {}; ///< Its entry may not show it yet.
+        TimePoint sentAt = TimePoint::min(); ///< Last request from this router.
         bool isColdSender = false; ///< \sa Options::isColdSender, as of senderCheckedAt.
         TimePoint senderCheckedAt = TimePoint::min();
         HealthTracker::Entry health = {};
     };
     struct Heard
     {
-        ReplicaNews news;
-        TimePoint at;
+        ReplicaNews update;
+        TimePoint receivedAt;
     };
     struct Candidate
     {
         State *state = nullptr;
-        double load = 0; ///< Requests in progress, all routers.
-        double cost = 0; ///< Of placing the prompt here, in tokens to be read.
+        double load = 0; ///< Requests in progress from all routers.
+        double cost = 0; ///< Cost of placing the prompt here, in tokens to process.
     };
 
     State *find(std::string_view id);
@@ -215,14 +223,14 @@
     const ReplicaRecord *copySource(const State &target, std::span<const PromptPart> prompt) const;
     void rebuildIndex();
     void forgetSilent();
-    void add(const ReplicaNews &news, int sign);
+    void add(const ReplicaNews &update, int sign);
     void updateBaseline();
 
     Options m_options;
     std::vector<State> m_states;
     std::map<std::string, std::size_t, std::less<>> m_index; ///< Into m_states, by incarnation.
     std::map<std::string, TimePoint, std::less<>> m_pauses; ///< Of replicas without an entry.
-    std::map<std::string, Heard> m_heard; ///< By router.
+    std::map<std::string, Heard> m_heard; ///< Last update by router.
     std::set<std::string> m_evacuated; ///< Failure domains.
     double m_coldLimit = 0; ///< \sa setColdLimit()
     TimePoint m_forgotAt;
