--- a/test/ColdPaceTest.cpp
+++ b/test/ColdPaceTest.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Routers that share no counter, each with its own view of the fleet and its pool, before replicas
-/// of which some are cold.
+/// Routers that share no counter, each with its own fleet view and pool, and replicas of which some
+/// are cold.
 struct ColdReplicaFleetFixture
 {
     struct Router
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Lets router \a i know \a others of the fleet.
+    /// Adds the first \a others routers to the fleet view of router \a i.
     void introduce(std::size_t i, std::size_t others)
     {
         std::vector<RegisteredRouter> rows;
@@ -81,7 +81,7 @@
             it.pool->setReplicas(list);
     }
 
-    /// Sends \a perSecond requests through routers in turn for \a length, each of which runs 20 ms.
+    /// Sends \a perSecond requests for \a length, through the routers in turn.
     void load(int perSecond, Duration length)
     {
         const Duration step = Duration(1s) / perSecond;
@@ -99,8 +99,8 @@
         }
     }
 
-    /// \returns the most requests that one replica whose name begins with \a prefix got in a
-    /// second.
+    /// \returns the largest number of requests in any second to one replica whose id begins with
+    /// \a prefix.
     std::size_t mostInASecond(const std::string &prefix) const
     {
         std::size_t most = 0;
@@ -136,26 +136,28 @@
 
 } // namespace
 
-TEST_CASE("coldPace_anyFleet_twoSetsOfSendersStayWithinWhatIsBorne")
+TEST_CASE("coldRateLimit_anyFleet_twoSetsOfSendersStayWithinTheLimit")
 {
     for (const double bearable : {0.4, 1.0, 1.9, 2.0, 5.0, 17.4, 50.0, 1000.0}) {
         for (const int routers : {1, 2, 9, 73, 295, 890}) {
-            const ColdPace pace = ColdPace::shareOf(bearable, routers);
-            const double perSender = std::floor(1s / pace.spacing) + 1;
+            const ColdPace limit = ColdPace::shareOf(bearable, routers);
+            const double perSender = std::floor(1s / limit.spacing) + 1;
             CAPTURE(bearable);
             CAPTURE(routers);
-            CHECK(pace.senders >= 1);
-            CHECK(pace.senders <= static_cast<std::size_t>(routers));
+            CHECK(limit.senders >= 1);
+            CHECK(limit.senders <= static_cast<std::size_t>(routers));
             if (bearable >= 2)
-                CHECK(2 * perSender * static_cast<double>(pace.senders) <= bearable);
+                CHECK(2 * perSender * static_cast<double>(limit.senders) <= bearable);
             else
-                CHECK(toSeconds(pace.spacing) * bearable >= 2);
+                CHECK(toSeconds(limit.spacing) * bearable >= 2);
         }
     }
 }
 
-// Guards against hundreds of routers that each send a cold replica a little and end it together.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_hundredsOfRouters_sendWhatItBearsTogether")
+// Guards against hundreds of routers that each send a few requests to a cold replica and together
+// overload it.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
+                  "coldReplica_hundredsOfRouters_stayWithinItsLimitTogether")
 {
     addRouters(295);
     introduceAll();
@@ -166,13 +168,14 @@
     CHECK(arrivedAt("cold") > 0);
 }
 
-// Guards against routers that don't know each other yet: each takes itself for a sender.
+// Guards against routers that do not know each other yet, so that each of them considers itself a
+// sender.
 TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
-                  "coldReplica_routersStartAndBelieveInDifferentFleets_staysWithinWhatItBears")
+                  "coldReplica_routersStartWithDifferentFleetViews_stayWithinItsLimit")
 {
     addRouters(70);
     for (std::size_t i = 0; i < routers.size(); ++i) {
-        // The last ones have not read the rows; others have read them before all were written.
+        // The last ten have not read the rows; others have read them before all were written.
         if (i < 60)
             introduce(i, i < 30 ? 70 : 40);
     }
@@ -182,8 +185,9 @@
     CHECK(mostInASecond("cold") <= Bearable);
 }
 
-// Guards against refusing while every replica is cold but all together bear the load.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_allAreCold_takeAThirdOfWhatTheyBear")
+// Guards against refusing requests while every replica is cold but the sum of their limits is
+// sufficient.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_allAreCold_takeAThirdOfTheirLimits")
 {
     addRouters(70);
     introduceAll();
@@ -193,7 +197,7 @@
     CHECK(refused < 30);
 }
 
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_warmAgain_isLimitedNoMore")
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_warmAgain_isNoLongerLimited")
 {
     addRouters(2);
     introduceAll();
@@ -207,9 +211,10 @@
     CHECK(refused == 0);
 }
 
-// Guards against a domain that is taken back and gets its usual load before entries say that it is
-// cold.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_domainTakenBack_isPacedUntilEntriesTell")
+// Guards against a domain that is no longer evacuated and gets its usual load before the registry
+// entries show that its replicas are cold.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
+                  "coldReplica_domainNoLongerEvacuated_isLimitedUntilEntriesAreCurrent")
 {
     addRouters(10);
     introduceAll();
@@ -227,9 +232,10 @@
     CHECK(refused == 0);
 }
 
-// Guards against a replica that ends, comes back cold at once and still has its entry of before.
+// Guards against a replica that terminates and returns cold while its registry entry is still the
+// former one.
 TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
-                  "coldReplica_backAfterItWasAway_isPacedUntilItsEntryTells")
+                  "coldReplica_returnsAfterUnreachable_isLimitedUntilItsEntryIsCurrent")
 {
     addRouters(10);
     introduceAll();
--- a/test/DecideHealthTrackerTest.cpp
+++ b/test/DecideHealthTrackerTest.cpp
@@ -51,7 +51,7 @@
     CHECK_FALSE(tracker.admits(entries[2], clock.now()));
 }
 
-TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_slowUpstream_isEjectedAndTheRestStays")
+TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_slowUpstream_onlyItIsEjected")
 {
     warmUp();
     for (int i = 0; i < 10; ++i)
@@ -60,13 +60,13 @@
     CHECK(tracker.ejectedCount() == 1);
 }
 
-TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_allFail_keepsTheFloor")
+TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_allFail_ejectsAtMostTheMaxShare")
 {
     for (int round = 0; round < 20; ++round) {
         for (std::size_t i = 0; i < entries.size(); ++i)
             answer(i, 1ms, false);
     }
-    CHECK(tracker.ejectedCount() == 3); // 0.34 of 9, rounded down.
+    CHECK(tracker.ejectedCount() == 3); // 0.34 of 9, rounded down
 }
 
 TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_halfOpen_admitsOneProbeAndStartsSlowly")
@@ -87,7 +87,7 @@
     CHECK(tracker.ejectedCount() == 0);
 }
 
-TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_failsAgain_staysOutTwiceAsLong")
+TEST_CASE_FIXTURE(HealthTrackerFixture, "healthTracker_failsAgain_isEjectedTwiceAsLong")
 {
     warmUp();
     for (int i = 0; i < 3; ++i)
--- a/test/IdleTrustTest.cpp
+++ b/test/IdleTrustTest.cpp
@@ -14,17 +14,17 @@
     ManualClock clock;
     IdleTrust trust{{.clock = clock}};
 
-    /// \returns how many calls of \a n are lost where connections rest for random times up to
-    /// \a most between two calls and are forgotten after \a forgottenAfter.
-    int lostCalls(int n, Duration most, Duration forgottenAfter)
+    /// \returns how many of \a n calls are lost if connections are idle for random times up to
+    /// \a maxIdleTime between two calls and are dropped after \a droppedAfter.
+    int lostCalls(int n, Duration maxIdleTime, Duration droppedAfter)
     {
         const RandomSource random = seededRandom(7);
         int lost = 0;
         for (int i = 0; i < n; ++i) {
             clock.advance(50ms);
-            const Duration rested = scaled(most, uniform(random));
+            const Duration rested = scaled(maxIdleTime, uniform(random));
             const bool reused = rested < trust.limit(false);
-            if (!reused || rested < forgottenAfter)
+            if (!reused || rested < droppedAfter)
                 continue;
             ++lost;
             trust.broke(rested, 2ms);
@@ -35,7 +35,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_nothingForgotten_longRestsAreTrusted")
+TEST_CASE_FIXTURE(IdleTrustFixture,
+                  "connectionReusePolicy_noConnectionDropped_longIdleTimesAreAllowed")
 {
     CHECK(trust.limit(false) == 6s);
     CHECK(trust.limit(true) == 12s);
@@ -43,13 +44,14 @@
     CHECK(trust.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_restingConnectionsForgotten_fewCallsAreLost")
+TEST_CASE_FIXTURE(IdleTrustFixture, "connectionReusePolicy_idleConnectionsDropped_fewCallsAreLost")
 {
-    // 400 calls in 20 seconds, of which 280 would be sent on a forgotten connection.
+    // Without a limit 280 of these 400 calls in 20 seconds would be sent on a dropped connection.
     CHECK(lostCalls(400, 1s, 300ms) <= 4);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_noneForgottenAnyMore_trustReturnsWithinAMinute")
+TEST_CASE_FIXTURE(IdleTrustFixture,
+                  "connectionReusePolicy_noneDroppedAnymore_limitRecoversWithinAMinute")
 {
     CHECK(trust.broke(400ms, 1ms));
     CHECK(trust.limit(false) == 200ms);
@@ -61,10 +63,11 @@
     CHECK(trust.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_replicaBreaksAtWork_changesNothing")
+TEST_CASE_FIXTURE(IdleTrustFixture,
+                  "connectionReusePolicy_connectionBreaksForOtherReasons_limitIsUnchanged")
 {
-    CHECK_FALSE(trust.broke(0s, 1ms)); // A new connection.
-    CHECK_FALSE(trust.broke(30ms, 1ms)); // Used a moment ago.
-    CHECK_FALSE(trust.broke(3s, 40ms)); // The request had arrived.
+    CHECK_FALSE(trust.broke(0s, 1ms)); // a new connection
+    CHECK_FALSE(trust.broke(30ms, 1ms)); // idle for less than minLimit
+    CHECK_FALSE(trust.broke(3s, 40ms)); // broke too late for a reset
     CHECK(trust.limit(false) == 6s);
 }
--- a/test/LoadShedderTest.cpp
+++ b/test/LoadShedderTest.cpp
@@ -20,7 +20,7 @@
 constexpr int Slots = 6;
 constexpr std::size_t QueueRoom = 40;
 
-/// What became of the calls of callers.
+/// Counts of the calls by result.
 struct Outcome
 {
     int onTime = 0;
@@ -32,7 +32,7 @@
     double refusedShare() const { return static_cast<double>(refused) / std::max(1, total()); }
 };
 
-/// Many routers before few replicas with places and a queue; calls come evenly.
+/// Many routers and a few replicas with a number of slots and a queue; calls arrive evenly.
 struct LoadShedderFixture
 {
     struct Call
@@ -128,9 +128,9 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_quarterMoreThanTheServiceCanDo_mostAreOnTime")
+TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_quarterAboveCapacity_mostCallsAreOnTime")
 {
-    // One replica of three is left, with 200 calls a second of which it is sent 250.
+    // One replica of three is left; it is sent 250 calls a second and has a capacity of 200.
     play(250, 5s, false);
     const Outcome without = play(250, 30s, false);
     play(250, 10s, true);
@@ -141,7 +141,7 @@
     CHECK(with.onTimeShare() + with.refusedShare() > 0.85);
 }
 
-TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_threeTimesTooMuch_keepsTheServiceBusyAndOnTime")
+TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_threeTimesCapacity_keepsTheServiceBusyAndOnTime")
 {
     play(600, 10s, true);
     const Outcome it = play(600, 30s, true);
@@ -150,14 +150,14 @@
     CHECK(it.late < 0.25 * served);
 }
 
-TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_serviceHasRoom_nothingIsRefused")
+TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_belowCapacity_nothingIsRefused")
 {
     const Outcome it = play(185, 30s, true);
     CHECK(it.refused == 0);
     CHECK(it.late == 0);
 }
 
-TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_overloadEnds_allAreSentAgainInTwoSeconds")
+TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_overloadEnds_allCallsAreSentWithinThreeSeconds")
 {
     play(400, 10s, true);
     play(100, 3s, true);
@@ -177,7 +177,7 @@
     CHECK_FALSE(it.isShedding());
 }
 
-TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_onlyOneOfThreeReplicasIsHeard_nothingIsRefused")
+TEST_CASE_FIXTURE(LoadShedderFixture, "loadShedder_reportsFromOneOfThreeReplicas_nothingIsRefused")
 {
     LoadShedder &it = *shedders.front();
     for (int i = 0; i < 20; ++i)
--- a/test/PromptIndexTest.cpp
+++ b/test/PromptIndexTest.cpp
@@ -29,7 +29,7 @@
     CHECK(index.cachedTokens(8, prompt) == 0);
 }
 
-TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_partNotUsedForLong_isTakenForGone")
+TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_partUnusedForItsLife_isNotCounted")
 {
     index.note(7, 1);
     clock.advance(9s);
@@ -40,7 +40,7 @@
     CHECK(index.cachedTokens(7, prompt) == 100);
 }
 
-TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_replicaGone_keepsNothing")
+TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_replicaRemoved_hasNothingCached")
 {
     index.note(7, 1);
     index.note(8, 1);
@@ -49,7 +49,7 @@
     CHECK(index.cachedTokens(8, prompt) == 100);
 }
 
-TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_moreParts_thanItHolds_forgetsTheOld")
+TEST_CASE_FIXTURE(PromptIndexFixture, "promptIndex_moreThanMaxParts_expiredPartsAreEvicted")
 {
     for (std::uint64_t i = 0; i < 90; ++i)
         index.note(7, 1000 + i);
--- a/test/PromptPaceTest.cpp
+++ b/test/PromptPaceTest.cpp
@@ -7,52 +7,53 @@
 
 namespace {
 
-/// An engine that reads 64 tokens a millisecond when it has nothing else to do.
+/// An engine that processes 64 prompt tokens a millisecond when it is otherwise idle.
 struct PromptPaceFixture
 {
-    static Duration reading(double tokens, double slowdown = 1)
+    static Duration prefillTime(double tokens, double slowdown = 1)
     {
         return std::chrono::duration_cast<Duration>(
                 std::chrono::duration<double, std::milli>(slowdown * tokens / 64));
     }
 
-    void read(int prompts, double tokens, double slowdown = 1)
+    void process(int prompts, double tokens, double slowdown = 1)
     {
         for (int i = 0; i < prompts; ++i)
-            pace.observe(tokens, reading(tokens, slowdown));
+            timeout.observe(tokens, prefillTime(tokens, slowdown));
     }
 
-    PromptPace pace;
+    PromptPace timeout;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_nothingRead_longPromptsHaveTime")
+TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_noMeasurement_longPromptsHaveTime")
 {
-    CHECK(pace.allowance(30'000) > reading(30'000, 2));
-    CHECK(pace.allowance(0) == Duration::zero());
-    CHECK(pace.allowance(-5) == Duration::zero());
+    CHECK(timeout.allowance(30'000) > prefillTime(30'000, 2));
+    CHECK(timeout.allowance(0) == Duration::zero());
+    CHECK(timeout.allowance(-5) == Duration::zero());
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_enginesLearned_busyOneIsWaitedForAndSilentOneNot")
+TEST_CASE_FIXTURE(PromptPaceFixture,
+                  "prefillTimeout_measured_coversABusyEngineButNotAnUnresponsiveOne")
 {
-    read(50, 10'000, 1.2);
-    CHECK(pace.allowance(30'000) > reading(30'000, 2.4));
-    CHECK(pace.allowance(30'000) < reading(30'000, 5));
-    CHECK(pace.allowance(700) < 100ms);
+    process(50, 10'000, 1.2);
+    CHECK(timeout.allowance(30'000) > prefillTime(30'000, 2.4));
+    CHECK(timeout.allowance(30'000) < prefillTime(30'000, 5));
+    CHECK(timeout.allowance(700) < 100ms);
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_shortPrompts_teachNothing")
+TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_shortPrompts_areIgnored")
 {
-    const Duration before = pace.allowance(10'000);
+    const Duration before = timeout.allowance(10'000);
     for (int i = 0; i < 100; ++i)
-        pace.observe(100, 900ms);
-    CHECK(pace.allowance(10'000) == before);
+        timeout.observe(100, 900ms);
+    CHECK(timeout.allowance(10'000) == before);
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_onePromptStuck_othersAreNotWaitedForMuchLonger")
+TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_onePromptDelayed_timeoutGrowsOnlyALittle")
 {
-    read(50, 10'000);
-    pace.observe(1000, 60s);
-    CHECK(pace.allowance(10'000) < 2s);
+    process(50, 10'000);
+    timeout.observe(1000, 60s);
+    CHECK(timeout.allowance(10'000) < 2s);
 }
--- a/test/RepeatBudgetTest.cpp
+++ b/test/RepeatBudgetTest.cpp
@@ -14,7 +14,7 @@
 constexpr double Share = 0.2;
 constexpr double Slack = 58;
 
-/// Routers that can't hear each other, before a service that fails everything.
+/// Routers that receive no messages from each other, and a service that fails all requests.
 struct RepeatBudgetFixture
 {
     explicit RepeatBudgetFixture(int n = 9)
@@ -23,7 +23,7 @@
             routers.push_back(RepeatBudget({.clock = clock, .share = Share, .slack = Slack}));
     }
 
-    /// \returns the most repeats beyond the allowance in any window of ten seconds.
+    /// \returns the largest number of retries beyond the limit in any window of ten seconds.
     double run(int seconds, int requestsPerTick)
     {
         double worst = -1e9;
@@ -33,53 +33,55 @@
                     routers[i].countRequest();
                     ++requests.back();
                     if (routers[i].tryRepeat(static_cast<int>(routers.size())))
-                        ++repeats.back();
+                        ++retries.back();
                 }
             }
             worst = std::max(worst, excess());
             clock.advance(100ms);
             requests.push_back(0);
-            repeats.push_back(0);
+            retries.push_back(0);
         }
         return worst;
     }
 
     double excess() const
     {
-        double asked = 0;
-        double again = 0;
+        double requestSum = 0;
+        double retrySum = 0;
         for (std::size_t i = 0; i < 100 && i < requests.size(); ++i) {
-            asked += requests[requests.size() - 1 - i];
-            again += repeats[repeats.size() - 1 - i];
+            requestSum += requests[requests.size() - 1 - i];
+            retrySum += retries[retries.size() - 1 - i];
         }
-        return again - Share * asked - Slack;
+        return retrySum - Share * requestSum - Slack;
     }
 
     ManualClock clock;
     std::vector<RepeatBudget> routers;
     std::deque<double> requests{0};
-    std::deque<double> repeats{0};
+    std::deque<double> retries{0};
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "repeatBudget_everythingFails_sumOfAllRoutersStaysWithin")
+TEST_CASE_FIXTURE(RepeatBudgetFixture,
+                  "fleetRetryBudget_everythingFails_allRoutersTogetherStayWithinTheLimit")
 {
     CHECK(run(40, 3) <= 0);
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "repeatBudget_fewRequestsOnEach_sumStaysWithin")
+TEST_CASE_FIXTURE(RepeatBudgetFixture,
+                  "fleetRetryBudget_fewRequestsPerRouter_allTogetherStayWithinTheLimit")
 {
     CHECK(run(5, 1) <= 0);
-    for (int i = 0; i < 50; ++i) { // A pause, after which the allowance has shrunk.
+    for (int i = 0; i < 50; ++i) { // Without requests the limit shrinks.
         clock.advance(100ms);
         requests.push_back(0);
-        repeats.push_back(0);
+        retries.push_back(0);
         CHECK(excess() <= 0);
     }
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "repeatBudget_singleFailures_areRepeated")
+TEST_CASE_FIXTURE(RepeatBudgetFixture, "fleetRetryBudget_singleFailures_areRetried")
 {
     int allowed = 0;
     for (int i = 0; i < 100; ++i) {
@@ -91,7 +93,7 @@
     CHECK(allowed == 10);
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "repeatBudget_nothingAllowed_allowsNothing")
+TEST_CASE_FIXTURE(RepeatBudgetFixture, "fleetRetryBudget_zeroShareAndSlack_allowsNothing")
 {
     routers[0].setOptions(0, 0);
     routers[0].countRequest();
--- a/test/ReplicaPoolTest.cpp
+++ b/test/ReplicaPoolTest.cpp
@@ -35,8 +35,8 @@
     return out;
 }
 
-/// Several routers that place prompts on the same engines and hear of each other with a delay, and
-/// engines that keep what they have read.
+/// Several routers that place prompts on the same engines and receive each other's updates with a
+/// delay, and engines that cache the prompts they have processed.
 struct EngineFleetFixture
 {
     EngineFleetFixture() : EngineFleetFixture(9, 9) { }
@@ -58,7 +58,7 @@
             it->setReplicas(engines);
     }
 
-    /// Lets the routers tell each other, as they do four times a second.
+    /// Exchanges updates between all routers, as heartbeats do four times a second.
     void beat()
     {
         for (std::size_t i = 0; i < pools.size(); ++i) {
@@ -74,7 +74,7 @@
             it.second.clear();
     }
 
-    /// Places one prompt of chat \a chat, which runs for \a length.
+    /// Places one prompt of chat \a chat, which runs for \a length. \returns the engine's id.
     std::string place(int chat, double tokens = 10'000, Duration length = 2s)
     {
         const std::vector<PromptPart> prompt = {{1000U, 500},
@@ -94,7 +94,7 @@
             mean += it.second;
         mean /= static_cast<double>(engines.size());
         if (load[id] > 2 * mean + 3)
-            ++overBound;
+            ++overLimit;
         if (cache[id].insert(chat).second) {
             const bool elsewhere = std::any_of(cache.begin(), cache.end(), [&](const auto &it) {
                 return it.first != id && it.second.contains(chat);
@@ -102,9 +102,9 @@
             if (elsewhere && choice.copyFrom)
                 copiedTokens += tokens;
             else if (elsewhere)
-                rereadTokens += tokens;
+                reprocessedTokens += tokens;
             else
-                firstReadTokens += tokens;
+                firstProcessedTokens += tokens;
         }
         return id;
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Runs \a seconds of \a perSecond prompts, the chat picked by \a pick.
+    /// Places \a perSecond prompts a second for \a seconds, each of the chat that \a pick returns.
     void run(int seconds, int perSecond, const std::function<int()> &pick)
     {
         for (int i = 0; i < seconds * perSecond; ++i) {
@@ -146,10 +146,10 @@
     std::deque<Run> running;
     std::map<std::string, int> load;
     std::map<std::string, std::set<int>> cache;
-    double firstReadTokens = 0;
-    double rereadTokens = 0;
+    double firstProcessedTokens = 0;
+    double reprocessedTokens = 0;
     double copiedTokens = 0;
-    int overBound = 0;
+    int overLimit = 0;
 };
 
 struct CallPoolFixture
@@ -171,52 +171,54 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_returningChats_areReadOnceAndStayWithinTheBound")
+TEST_CASE_FIXTURE(EngineFleetFixture,
+                  "replicaPool_returningChats_areProcessedOnceAndStayWithinTheLoadLimit")
 {
     run(20, 30, [&] { return static_cast<int>(random() % 25); });
-    CHECK(firstReadTokens == 25 * 10'000);
-    CHECK(rereadTokens <= 0.05 * firstReadTokens);
-    // The bound makes crowded chats move, which is paid by copies.
-    CHECK(copiedTokens <= 0.6 * firstReadTokens);
-    CHECK(overBound <= 0.03 * 600);
+    CHECK(firstProcessedTokens == 25 * 10'000);
+    CHECK(reprocessedTokens <= 0.05 * firstProcessedTokens);
+    // The load limit makes some chats move, which costs copies.
+    CHECK(copiedTokens <= 0.6 * firstProcessedTokens);
+    CHECK(overLimit <= 0.03 * 600);
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_hotChat_spreadsByCopiesAndStaysWithinTheBound")
+TEST_CASE_FIXTURE(EngineFleetFixture,
+                  "replicaPool_hotChat_spreadsByCopiesAndStaysWithinTheLoadLimit")
 {
     run(5, 30, [&] { return static_cast<int>(random() % 25); });
-    const double before = rereadTokens;
+    const double before = reprocessedTokens;
     run(10, 60, [&] { return random() % 3 == 0 ? 3 : static_cast<int>(random() % 25); });
-    CHECK(rereadTokens - before <= 2 * 10'000);
-    CHECK(overBound <= 0.03 * 750);
+    CHECK(reprocessedTokens - before <= 2 * 10'000);
+    CHECK(overLimit <= 0.03 * 750);
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineJoins_noChatThatIsKeptIsReadAgain")
+TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineJoins_noCachedChatIsProcessedAgain")
 {
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
-    const double before = rereadTokens;
+    const double before = reprocessedTokens;
     setEngines(replicas(11));
-    const std::size_t kept = cache.size();
+    const std::size_t enginesWithCache = cache.size();
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
-    CHECK(rereadTokens == before);
-    CHECK(kept == 9); // Every chat was known before.
-    CHECK(overBound <= 0.03 * 600);
+    CHECK(reprocessedTokens == before);
+    CHECK(enginesWithCache == 9); // Every engine had cached chats before.
+    CHECK(overLimit <= 0.03 * 600);
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineDrains_itsChatsAreCopiedNotRead")
+TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineDrains_itsChatsAreCopiedNotProcessedAgain")
 {
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
-    const double before = rereadTokens;
+    const double before = reprocessedTokens;
     std::vector<ReplicaRecord> list = engines;
     list[2].draining = true;
     setEngines(list);
-    const int settled = load["i-2"];
+    const int loadBefore = load["i-2"];
     run(5, 30, [&] { return static_cast<int>(random() % 25); });
-    CHECK(load["i-2"] <= settled);
-    CHECK(rereadTokens == before);
+    CHECK(load["i-2"] <= loadBefore);
+    CHECK(reprocessedTokens == before);
     CHECK(copiedTokens > 0);
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineIsGone_itsChatsGoToOthers")
+TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_engineRemoved_itsChatsGoToOthers")
 {
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
     std::vector<ReplicaRecord> list = engines;
@@ -226,7 +228,7 @@
         CHECK(place(chat) != "i-2");
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_routersThatHeardNothing_agreeOnTheFirstPlace")
+TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_routersWithoutUpdates_chooseTheSameReplica")
 {
     for (int chat = 1; chat < 20; ++chat) {
         const std::vector<PromptPart> prompt = {{static_cast<std::uint64_t>(chat), 9000}};
@@ -237,7 +239,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_calls_goWhereLeastIsInProgress")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_calls_goToTheLeastLoadedReplica")
 {
     std::map<std::string, int> n;
     for (int i = 0; i < 24; ++i) {
@@ -249,7 +251,7 @@
         CHECK(it.second == 6);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_othersCounts_areRegardedUntilTheyAreOld")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_countsOfOtherRouters_areUsedUntilTheyExpire")
 {
     pool.setNews("r2", {.counts = {{"i-0", 5}, {"i-1", 5}, {"i-2", 5}}}, clock.now());
     CHECK(choose() == "i-3");
@@ -259,7 +261,7 @@
     CHECK(pool.inProgress("i-0") == 0);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_drainingExcludedOrLeftOut_isNotChosen")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_drainingOrExcluded_isNotChosen")
 {
     list[0].draining = true;
     pool.setReplicas(list);
@@ -272,7 +274,7 @@
     CHECK(choose() == "i-2");
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_allDraining_givesNone")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_allDraining_choosesNone")
 {
     for (ReplicaRecord &it : list)
         it.draining = true;
@@ -280,7 +282,7 @@
     CHECK(pool.choose({}).replica == nullptr);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaFailsAgainAndAgain_isLeftAloneForAWhile")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaFailsThreeTimes_isEjected")
 {
     for (int i = 0; i < 3; ++i) {
         pool.started("i-0");
@@ -290,7 +292,7 @@
         CHECK(choose() != "i-0");
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaStays_keepsItsCounts")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaStaysRegistered_retainsItsCounts")
 {
     pool.started("i-1");
     list.push_back(replica(9, 6));
@@ -300,7 +302,7 @@
     CHECK(pool.inProgress("i-1") == 0);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_onlySomeAllowed_choosesAmongThem")
+TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_onlySomeReplicasAllowed_choosesAmongThem")
 {
     const std::vector<std::string> only = {"i-2"};
     pool.started("i-2");
@@ -310,7 +312,8 @@
     CHECK(pool.choose({.only = only}).replica == nullptr);
 }
 
-TEST_CASE_FIXTURE(EngineFleetFixture, "replicaPool_restartedRouter_placesAsItsPeersOnceTold")
+TEST_CASE_FIXTURE(EngineFleetFixture,
+                  "replicaPool_restartedRouterWithPeersPrompts_findsCachedPrompts")
 {
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
     ReplicaPool fresh({.clock = clock, .random = seededRandom(99), .isEngine = true});
@@ -327,8 +330,8 @@
 
 namespace {
 
-/// 73 routers of which each sends four replicas a call a second in all, as the users' dispatch desk
-/// does; replica i-0 fails every call.
+/// 73 routers, each of which sends four calls a second in total to four replicas; replica i-0 fails
+/// every call.
 struct CallFleetFixture
 {
     CallFleetFixture()
@@ -340,7 +343,8 @@
         }
     }
 
-    /// \returns how many calls fail in \a time. Each router tells \a fanout others at a time.
+    /// \returns how many calls fail in \a time. Each heartbeat of a router goes to \a fanout
+    /// others.
     int failedCalls(Duration time, std::size_t fanout, bool repeatable)
     {
         int failed = 0;
@@ -382,15 +386,16 @@
     std::vector<std::unique_ptr<ReplicaPool>> pools;
     std::array<std::size_t, Routers> next = {};
     std::string failing = "i-0";
-    double failsAnywhere = 0; ///< Part of the calls that no replica answers well.
+    double failsAnywhere = 0; ///< Share of the calls that fail on every replica.
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaFailsAllCalls_routersTellEachOther")
+TEST_CASE_FIXTURE(CallFleetFixture,
+                  "replicaPool_replicaFailsAllCalls_announcedEjectionsHalveFailures")
 {
-    // Each router alone needs three calls, one a second: some 220 are lost before all have found
-    // out, and more when each tries whether it is well again.
+    // Without updates each router needs three failed calls, about 220 in total, until the replica
+    // is ejected everywhere, and more calls to probe it later.
     const int alone = CallFleetFixture().failedCalls(8s, 0, false);
     CHECK(alone > 190);
     const int together = failedCalls(8s, 16, false);
@@ -398,7 +403,7 @@
     CHECK(together < alone / 2);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_someCallsFailAnywhere_noReplicaIsAvoided")
+TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_someCallsFailOnEveryReplica_noReplicaIsEjected")
 {
     failing = "none";
     failsAnywhere = 0.04;
@@ -410,7 +415,7 @@
         CHECK(used[it.id] > 800);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaIsWellAgain_allRoutersUseItAgain")
+TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaRecovers_allRoutersUseItAgain")
 {
     failedCalls(8s, 16, false);
     failing = "none";
@@ -423,14 +428,14 @@
     CHECK(used > 60);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_ejectedElsewhere_ownGoodAnswerGoesFirst")
+TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_ejectedByPeers_ownSuccessTakesPrecedence")
 {
     ReplicaPool &pool = *pools[0];
     for (const char *router : {"r1", "r2", "r3"})
         pool.setNews(router, {.ejected = {"i-0"}}, clock.now());
     for (int i = 0; i < 50; ++i)
         CHECK(pool.choose({}).replica->id != "i-0");
-    // It answers here: only some callers are failed.
+    // It answers this router: it fails only for some callers.
     const std::vector<std::string> only = {"i-0"};
     pool.started("i-0");
     pool.finished("i-0", {.succeeded = true, .total = 20ms});
@@ -441,7 +446,7 @@
     CHECK(used > 20);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_mostEjectedElsewhere_newsIsNotBelieved")
+TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_mostReplicasEjectedByPeers_ejectionsAreIgnored")
 {
     ReplicaPool &pool = *pools[0];
     for (const char *router : {"r1", "r2", "r3"})
@@ -452,7 +457,7 @@
     CHECK(used.size() == 4);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaHalfOpen_callsThatMayNotBeRepeatedWait")
+TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaHalfOpen_isProbedByRetryableCallsFirst")
 {
     ReplicaPool &pool = *pools[0];
     for (int i = 0; i < 3; ++i) {
@@ -469,9 +474,8 @@
 
 namespace {
 
-/// 73 routers and 140 engines, of which every fifth takes requests and never answers: the users'
-/// language models when a rack's links fail. A router sends each engine a request in twelve
-/// seconds.
+/// 73 routers and 140 engines, of which every fifth accepts requests and never answers, as when the
+/// links of a rack fail. A router sends each engine one request in twelve seconds.
 struct SilentEnginesFixture
 {
     SilentEnginesFixture()
@@ -488,7 +492,7 @@
         return silent && std::stoi(id.substr(2)) % 5 == 0;
     }
 
-    /// \returns how many requests of \a time go to engines that do not answer.
+    /// \returns how many requests are sent to engines that do not answer during \a time.
     int unanswered(Duration time)
     {
         int out = 0;
@@ -546,9 +550,10 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SilentEnginesFixture, "replicaPool_enginesFallSilent_fewRequestsAreSentThere")
+TEST_CASE_FIXTURE(SilentEnginesFixture, "replicaPool_enginesStopAnswering_fewRequestsAreSentToThem")
 {
-    // 1,400 requests would be sent to them in 8 s; 210 before the first of them is overdue.
+    // Without ejection 1,400 requests would be sent to them in 8 s; 210 are sent before the first
+    // timeout.
     const int lost = unanswered(8s);
     MESSAGE("requests to silent engines: ", lost);
     CHECK(lost < 600);
@@ -570,7 +575,7 @@
     CHECK(well >= 26);
 }
 
-TEST_CASE("replicaPool_replicaRestartedUnderItsId_nothingKnownOfItRemains")
+TEST_CASE("replicaPool_replicaRestartsUnderSameId_itsStateIsReset")
 {
     ManualClock clock;
     ReplicaPool pool({.clock = clock, .random = seededRandom(1), .isEngine = true});
@@ -584,7 +589,7 @@
         pool.finished(first.incarnation(),
                       {.succeeded = false, .reason = Reason::UpstreamTimeout, .total = 1s});
     pool.started(first.incarnation(), prompt);
-    REQUIRE(pool.health().ejectedCount() == 0); // Of two, none may be ejected.
+    REQUIRE(pool.health().ejectedCount() == 0); // Of two replicas none may be ejected.
     REQUIRE(pool.inProgress(first.incarnation()) == 1);
 
     ReplicaRecord again = first;
@@ -593,7 +598,7 @@
     CHECK(pool.inProgress(again.incarnation()) == 0);
     CHECK(pool.knowsNoPrompts());
     pool.started(again.incarnation());
-    // An attempt at the former start ends late.
+    // An attempt on the former incarnation ends late.
     pool.finished(first.incarnation(), {.succeeded = false, .reason = Reason::UpstreamBroken});
     CHECK(pool.inProgress(again.incarnation()) == 1);
     const ReplicaPool::Choice choice = pool.choose({.prompt = prompt});
@@ -601,8 +606,9 @@
     CHECK(choice.copyFrom == nullptr);
 }
 
-// Guards against sending to a replica that pauses because its entry lapsed meanwhile.
-TEST_CASE("replicaPool_pausingReplicaLosesItsEntry_staysLeftOut")
+// Guards against sending requests to a replica that requested a pause, after its registry entry
+// expired and was added again during the pause.
+TEST_CASE("replicaPool_excludedReplicaLosesItsEntry_staysExcluded")
 {
     ManualClock clock;
     ReplicaPool pool({.clock = clock, .random = seededRandom(1)});
@@ -623,12 +629,12 @@
 
 namespace {
 
-/// One router before replicas in three failure domains, d0 to d2, and two regions.
+/// One router and replicas in three failure domains, d0 to d2, and two regions.
 struct DomainPoolFixture
 {
     DomainPoolFixture() { pool.setReplicas(replicas(6)); }
 
-    /// \returns the failure domains of what is chosen for \a query in a hundred choices.
+    /// \returns the failure domains of the replicas chosen for \a query in a hundred choices.
     std::set<std::string> chosen(ReplicaPool::Query query = {})
     {
         std::set<std::string> out;
@@ -653,9 +659,9 @@
 
 } // namespace
 
-// Guards against a way around an evacuation: repeats, resumed streams and the case that all others
-// fail go through the same choice.
-TEST_CASE_FIXTURE(DomainPoolFixture, "replicaPool_evacuatedDomain_isChosenOnNoWay")
+// Guards against choosing a replica in an evacuated domain for a retry, for a resumed stream, or
+// because all other replicas fail.
+TEST_CASE_FIXTURE(DomainPoolFixture, "replicaPool_evacuatedDomain_isNeverChosen")
 {
     pool.setEvacuated({"d1", "nobody-knows-it"});
     CHECK(chosen() == Domains{"d0", "d2"});
@@ -695,8 +701,8 @@
     CHECK(pool.usableCount() == 0);
 }
 
-// Guards against sending requests out of the regions that their route or workspace is bound to.
-TEST_CASE_FIXTURE(DomainPoolFixture, "replicaPool_regionsOfRouteAndWorkspace_bothBind")
+// Guards against sending requests to regions that their route or workspace does not allow.
+TEST_CASE_FIXTURE(DomainPoolFixture, "replicaPool_regionsOfRouteAndWorkspace_areBothRequired")
 {
     const std::vector<std::string> east = {"east"};
     const std::vector<std::string> west = {"west"};
--- a/test/StepTable.h
+++ b/test/StepTable.h
@@ -10,17 +10,17 @@
 
 namespace catkinloft {
 
-/// \brief A table service in memory whose requests take effect, and are answered, only when a test
-/// says so; each of the two can be lost.
+/// \brief In-memory table service for tests, in which the test decides when each request takes
+/// effect and is answered, and whether the request or the answer is lost.
 class StepTable final : public TableService
 {
 public:
     enum class Fate {
         Answered,
-        LostAnswer, ///< Takes effect, and the caller is told that it may have.
-        LostRequest, ///< Takes no effect, and the caller is told that it may have.
-        Refused, ///< Takes no effect, and the caller is told so.
-        Late, ///< The caller is told that it may have; it takes effect with a later landLate().
+        LostAnswer, ///< Takes effect; the caller gets the verdict MayHaveRun.
+        LostRequest, ///< Takes no effect; the caller gets the verdict MayHaveRun.
+        Refused, ///< Takes no effect; the caller gets the verdict NotRun.
+        Late, ///< The caller gets the verdict MayHaveRun; takes effect in a later landLate().
     };
 
     void read(std::vector<std::string> keys, Callback<std::vector<TableRow>> done) override
@@ -42,7 +42,7 @@
     std::size_t waiting() const { return m_queue.size(); }
     std::size_t writes() const { return m_writes; }
 
-    /// \brief Decides on request \a i of those waiting.
+    /// \brief Completes waiting request \a i with \a fate.
     void step(std::size_t i, Fate fate)
     {
         Request it = std::move(m_queue.at(i));
@@ -53,14 +53,14 @@
             answerCommit(it, fate);
     }
 
-    /// \brief Answers everything, also what the answers ask in turn.
+    /// \brief Completes all waiting requests, also those that the answers cause.
     void run(Fate fate = Fate::Answered)
     {
         while (!m_queue.empty())
             step(0, fate);
     }
 
-    /// \brief Lets the commits land that were late.
+    /// \brief Applies the commits that were completed with Fate::Late.
     void landLate()
     {
         for (const TableTransaction &it : std::exchange(m_late, {}))
@@ -73,7 +73,7 @@
         return it == m_rows.end() ? TableRow{.key = key, .value = {}, .version = 0} : it->second;
     }
 
-    bool ignoresVersions = false; ///< A broken compare-and-set, to prove that a test sees it.
+    bool ignoresVersions = false; ///< Breaks compare-and-set, to prove that a test detects it.
 
 private:
     struct Request
