--- a/src/Decide/ReplicaPool.h
+++ b/src/Decide/ReplicaPool.h
@@ -153,8 +153,8 @@
     /// also if the replica's entry is removed and added again.
     void leaveOut(std::string_view id, Duration duration);
 
-    /// \returns the time until the first serving replica is no longer excluded; zero if one is not
-    /// excluded or there is none.
+    /// \returns the time until the first replica that is neither draining nor evacuated is no
+    /// longer excluded; zero if one is not excluded or there is none.
     Duration untilReturn() const;
 
     /// \returns the update that this router announces to the others.
