--- a/src/Decide/ColdPace.h
+++ b/src/Decide/ColdRateLimit.h
@@ -17,15 +17,15 @@
 /// stays within its part in any second. Only half of the rate limit is distributed: while routers
 /// start or become unreachable, fleet views differ and two sets of routers may send at once, which
 /// together still stay within the limit.
-struct ColdPace
+struct ColdRateLimit
 {
     std::size_t senders = 1; ///< Number of routers that may send to the replica.
-    Duration spacing = Duration::zero(); ///< Minimum time between two requests of one sender.
+    Duration minInterval = Duration::zero(); ///< Minimum time between two requests of one sender.
 
     /// \brief Distributes the rate limit of a cold replica among \a routers.
-    /// \param bearable limit on requests in any one second, from all routers together; above 0.
+    /// \param fleetLimit limit on requests in any one second, from all routers together; above 0.
     /// \param routers number of routers, at least 1.
-    static ColdPace shareOf(double bearable, int routers);
+    static ColdRateLimit fromFleetLimit(double fleetLimit, int routers);
 };
 
 } // namespace catkinloft
--- a/src/Decide/IdleTrust.h
+++ b/src/Decide/ConnectionReusePolicy.h
@@ -14,7 +14,7 @@
 /// half of the idle time at which it was dropped, and doubles again after each period without a
 /// dropped connection. Retryable requests use twice the limit, so that they are the first to
 /// hit a dropped connection.
-class IdleTrust
+class ConnectionReusePolicy
 {
 public:
     struct Options
@@ -29,23 +29,24 @@
         Duration minLimit = std::chrono::milliseconds(100);
         /// Time without a dropped connection after which the limit doubles. Six doublings lead from
         /// the smallest limit back to the largest in a minute.
-        Duration recovery = std::chrono::seconds(10);
+        Duration recoveryInterval = std::chrono::seconds(10);
         /// A request on a dropped connection is answered by a reset after one round trip. A
         /// connection that breaks later broke while the replica worked on the request.
-        Duration answerTime = std::chrono::milliseconds(20);
+        Duration maxResetTime = std::chrono::milliseconds(20);
     };
 
-    explicit IdleTrust(Options options) : m_options(options), m_limit(options.maxLimit) { }
+    explicit ConnectionReusePolicy(Options options) : m_options(options), m_limit(options.maxLimit)
+    { }
 
     /// \returns the longest idle time of a connection on which a request may be sent.
-    /// \param repeatable whether the request may be sent again after a failed attempt.
-    Duration limit(bool repeatable);
+    /// \param retryable whether the request may be sent again after a failed attempt.
+    Duration limit(bool retryable);
 
     /// \brief Reports that a connection broke before the first byte of an answer.
-    /// \param rested idle time before the request was sent on it; zero for a new connection.
+    /// \param idleTime idle time before the request was sent on it; zero for a new connection.
     /// \param after time from sending the request until the connection broke.
     /// \returns whether the replica is assumed to have dropped the idle connection.
-    bool broke(Duration rested, Duration after);
+    bool reportBroken(Duration idleTime, Duration after);
 
 private:
     void recover();
--- a/src/Decide/RepeatBudget.cpp
+++ b/src/Decide/FleetRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "Decide/RepeatBudget.h"
+#include "Decide/FleetRetryBudget.h"
 
 #include <algorithm>
 
@@ -8,18 +8,18 @@
 
 /// Share of the limit that is used. The rest covers retries that are counted one slot before they
 /// arrive at the service, and routers that joined but are not known to this router yet.
-constexpr double UsedPart = 0.85;
+constexpr double UsedShare = 0.85;
 
 constexpr std::int64_t SlotsPerWindow = 10;
 
 } // namespace
 
-std::int64_t RepeatBudget::slotNumber() const
+std::int64_t FleetRetryBudget::slotNumber() const
 {
     return m_options.clock.now().time_since_epoch() / (m_options.window / SlotsPerWindow);
 }
 
-RepeatBudget::Slot &RepeatBudget::currentSlot()
+FleetRetryBudget::Slot &FleetRetryBudget::currentSlot()
 {
     const std::int64_t number = slotNumber();
     Slot &out = m_slots[static_cast<std::size_t>(number) % Slots];
@@ -28,12 +28,12 @@
     return out;
 }
 
-void RepeatBudget::countRequest()
+void FleetRetryBudget::countRequest()
 {
     ++currentSlot().requests;
 }
 
-bool RepeatBudget::tryRepeat(int routers)
+bool FleetRetryBudget::tryRetry(int routers)
 {
     const std::int64_t now = currentSlot().number;
     int requests = 0;
@@ -47,14 +47,14 @@
             requests += it.requests;
     }
     const double allowed =
-            UsedPart * (m_options.share * requests + m_options.slack / std::max(1, routers));
+            UsedShare * (m_options.share * requests + m_options.slack / std::max(1, routers));
     if (retries + 1 > allowed)
         return false;
     ++currentSlot().retries;
     return true;
 }
 
-void RepeatBudget::setOptions(double share, double slack)
+void FleetRetryBudget::setOptions(double share, double slack)
 {
     m_options.share = share;
     m_options.slack = slack;
--- a/src/Decide/RepeatBudget.h
+++ b/src/Decide/FleetRetryBudget.h
@@ -15,7 +15,7 @@
 /// of the requests plus a fixed slack in any window. Each router limits itself to that share of its
 /// own requests and to its part of the slack, so the fleet stays within the limit also while
 /// routers receive no messages from each other.
-class RepeatBudget
+class FleetRetryBudget
 {
 public:
     struct Options
@@ -27,7 +27,7 @@
                 std::chrono::seconds(10); ///< The limit holds in any interval of this length.
     };
 
-    explicit RepeatBudget(Options options) : m_options(options) { }
+    explicit FleetRetryBudget(Options options) : m_options(options) { }
 
     /// \brief Counts the first attempt of a request.
     void countRequest();
@@ -35,7 +35,7 @@
     /// \brief Requests permission for a retry and counts it if it is allowed.
     /// \param routers number of routers that share the slack.
     /// \returns whether the retry is allowed.
-    bool tryRepeat(int routers);
+    bool tryRetry(int routers);
 
     /// \brief Changes the limits and keeps the counts.
     void setOptions(double share, double slack);
--- a/src/Decide/HealthTracker.h
+++ b/src/Decide/HealthTracker.h
@@ -25,7 +25,7 @@
     };
 
     /// Time after which the setbacks of an upstream are halved; flapping happens within minutes.
-    static constexpr Duration SetbackLife = std::chrono::minutes(5);
+    static constexpr Duration SetbackLifetime = std::chrono::minutes(5);
 
     /// \brief Health state of one upstream.
     struct Entry
@@ -35,7 +35,7 @@
         double cost = 0; ///< Moving average of seconds per unit of work.
         int samples = 0;
         int failuresInRow = 0;
-        int setbacks = 0; ///< Ejections and returns, halved after SetbackLife.
+        int setbacks = 0; ///< Ejections and returns, halved after SetbackLifetime.
         bool probing = false; ///< A half-open probe is in progress.
         TimePoint ejectedUntil;
         TimePoint rampStart; ///< Begin of the slow start; in the past if there is none.
@@ -53,7 +53,7 @@
 
     /// \brief Ejects \a it after a single attempt, for a failure that no healthy upstream shows.
     /// \returns whether it was healthy before and may be ejected.
-    bool ejectAtOnce(Entry &it, std::size_t poolSize, TimePoint now);
+    bool ejectImmediately(Entry &it, std::size_t poolSize, TimePoint now);
 
     /// \brief Sets the median of \a costs as the cost that upstreams are compared with; call about
     /// once a second.
--- a/src/Decide/LoadShedder.cpp
+++ b/src/Decide/LoadShedder.cpp
@@ -11,7 +11,7 @@
 /// Share of the target latency that a call may wait in the queue. The rest is for its service time,
 /// the round trip, and the growth of the queues until all routers have received a report of them.
 /// With half of this value short bursts would be shed although all their calls would be on time.
-constexpr double WaitPart = 0.35;
+constexpr double MaxWaitShare = 0.35;
 
 /// Change of the share per answer. Each of 69 routers gets only three answers per second, so the
 /// steps have to be large: with a tenth of these values the queues oscillate between empty and too
@@ -24,10 +24,10 @@
 constexpr double MinShare = 0.2;
 
 /// Time after which the report of a replica is discarded: queues of 100 ms have drained by then.
-constexpr Duration HeardLife = 1500ms;
+constexpr Duration ReportLifetime = 1500ms;
 
 /// Time without a report of a full queue after which the service is no longer considered full.
-constexpr Duration FullLife = 2s;
+constexpr Duration FullLifetime = 2s;
 
 constexpr double Smoothing = 0.1;
 
@@ -35,7 +35,7 @@
 
 bool LoadShedder::admits()
 {
-    if (m_share < 1 && m_options.clock.now() - m_fullAt > FullLife)
+    if (m_share < 1 && m_options.clock.now() - m_lastFullAt > FullLifetime)
         m_share = 1;
     return m_share >= 1 || uniform(m_options.random) < m_share;
 }
@@ -53,7 +53,7 @@
     // If all calls wait, the service time is derived from the latency and the length of the queue.
     const double service = m_serviceSeconds > 0 ? m_serviceSeconds
                                                 : toSeconds(latency) / (1 + load.waiting / slots);
-    update(replica, load.waiting / slots * service > WaitPart * toSeconds(target), usable);
+    update(replica, load.waiting / slots * service > MaxWaitShare * toSeconds(target), usable);
 }
 
 void LoadShedder::refused(const std::string &replica, std::size_t usable)
@@ -64,21 +64,21 @@
 void LoadShedder::update(const std::string &replica, bool full, std::size_t usable)
 {
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_heard, [=](const auto &it) { return now - it.second.at > HeardLife; });
-    m_heard[replica] = {now, full};
+    std::erase_if(m_reports, [=](const auto &it) { return now - it.second.at > ReportLifetime; });
+    m_reports[replica] = {now, full};
     if (!full) {
         m_share = std::min(1.0, m_share + Increase);
-    } else if (allAreFull(usable)) {
-        m_fullAt = now;
+    } else if (allReplicasFull(usable)) {
+        m_lastFullAt = now;
         m_share = std::max(MinShare, m_share * Decrease);
     }
 }
 
-bool LoadShedder::allAreFull(std::size_t usable) const
+bool LoadShedder::allReplicasFull(std::size_t usable) const
 {
     // Requires recent reports from more than half of the replicas; a router need not have all.
-    return 2 * m_heard.size() > usable
-            && std::all_of(m_heard.begin(), m_heard.end(),
+    return 2 * m_reports.size() > usable
+            && std::all_of(m_reports.begin(), m_reports.end(),
                            [](const auto &it) { return it.second.full; });
 }
 
--- a/src/Decide/PromptPace.h
+++ b/src/Decide/PrefillTimeout.h
@@ -16,7 +16,7 @@
 ///
 /// The rate is measured with prompts of which the engine had cached nothing, so it follows the
 /// engines and their usual load.
-class PromptPace
+class PrefillTimeout
 {
 public:
     /// \brief Reports that the first event arrived \a after a prompt of \a tokens was sent to an
@@ -25,14 +25,14 @@
 
     /// \returns the time within which a healthy engine processes a prompt of \a tokens, even if it
     /// has cached none of it.
-    Duration allowance(double tokens) const;
+    Duration timeoutFor(double tokens) const;
 
 private:
-    double m_secondsPerToken = InitialPace;
+    double m_secondsPerToken = InitialSecondsPerToken;
 
     /// Used before the first measurement: 20 tokens a millisecond, a third of the rate of common
     /// engines.
-    static constexpr double InitialPace = 50e-6;
+    static constexpr double InitialSecondsPerToken = 50e-6;
 };
 
 } // namespace catkinloft
--- a/src/Decide/ReplicaPool.cpp
+++ b/src/Decide/ReplicaPool.cpp
@@ -2,7 +2,7 @@
 
 #include "Base/Hash.h"
 #include "Base/Log.h"
-#include "Decide/ColdPace.h"
+#include "Decide/ColdRateLimit.h"
 #include "Decide/Rendezvous.h"
 
 #include <algorithm>
@@ -32,10 +32,10 @@
 /// 150 tokens are processed.
 constexpr double TokensPerRequest = 150;
 
-/// Costs that differ by less than this share of the prompt, or by less than EqualTokens, count as
-/// equal; then the rendezvous order decides.
-constexpr double EqualPart = 0.1;
-constexpr double EqualTokens = 100;
+/// Costs that differ by less than this share of the prompt, or by less than EqualCostTokens, count
+/// as equal; then the rendezvous order decides.
+constexpr double EqualCostShare = 0.1;
+constexpr double EqualCostTokens = 100;
 
 /// Among replicas of equal cost, the second in rendezvous order is chosen if the first has more
 /// than this number of additional requests. Two choices distribute a small number of long chats
@@ -48,19 +48,19 @@
 
 /// Age at which the update of a router is discarded as outdated: twice the longest interval between
 /// two of its heartbeats.
-constexpr Duration CountsLife = 3s;
+constexpr Duration UpdateLifetime = 3s;
 
 /// Interval at which updates are checked for their age.
-constexpr Duration ForgetInterval = 500ms;
+constexpr Duration ExpiryCheckInterval = 500ms;
 
 /// Number of other routers that must have ejected a replica before it gets no requests from this
 /// one. A single router may be cut off from the replica, and if one call in seven fails for other
 /// reasons, a router ejects a healthy replica every fifty seconds; three ejections at the same time
 /// indicate a fault of the replica.
-constexpr int MinEjectors = 3;
+constexpr int MinPeerEjections = 3;
 
 /// Time during which an own successful answer takes precedence over ejections by other routers.
-constexpr Duration OwnEvidenceLife = 2s;
+constexpr Duration OwnSuccessLifetime = 2s;
 
 /// Time for which only retryable calls probe a half-open replica. If there was none, a call that is
 /// not retryable is sent afterwards: this may lose one call, but otherwise the replica would stay
@@ -70,7 +70,7 @@
 /// Maximum number of ejected replicas in one update, 15 bytes each. It may be less than the number
 /// of failing replicas, because a router ejects only some of them itself (6 of 28) before it
 /// receives the ejections of the others.
-constexpr std::size_t MaxToldEjected = 16;
+constexpr std::size_t MaxAnnouncedEjections = 16;
 
 /// Interval at which the median cost of a call is recomputed.
 constexpr Duration BaselineInterval = 1s;
@@ -78,25 +78,25 @@
 /// Factor on the cost of replicas in this router's failure domain. A call leaves the domain only
 /// for a replica with less load: leaving costs a millisecond, waiting behind another request costs
 /// its service time.
-constexpr double DomainBonus = 0.9;
+constexpr double LocalDomainFactor = 0.9;
 
 /// Maximum delay of a registry entry behind its replica: a heartbeat, a read of the store, and the
 /// propagation to the routers.
-constexpr Duration EntryLag = 3s;
+constexpr Duration MaxEntryDelay = 3s;
 
 /// Time for which a replica that was unreachable is assumed to be cold: for a part of it the
 /// replica is excluded, for the rest its registry entry may be outdated.
-constexpr Duration AwayCold = 6s;
+constexpr Duration UnreachableColdTime = 6s;
 
 /// Time for which isColdSender is cached, since computing it visits all routers.
-constexpr Duration SenderLife = 500ms;
+constexpr Duration ColdSenderLifetime = 500ms;
 
 bool contains(std::span<const std::string> ids, const std::string &id)
 {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-bool mayTake(const ReplicaPool::Query &query, const std::string &incarnation)
+bool isSelectable(const ReplicaPool::Query &query, const std::string &incarnation)
 {
     return !contains(query.excluded, incarnation)
             && (query.only.empty() || contains(query.only, incarnation));
@@ -120,21 +120,21 @@
             known->incarnation.clear();
         } else {
             const std::uint64_t hash = hash64(incarnation);
-            const auto exclusion = m_pauses.find(incarnation);
+            const auto exclusion = m_exclusions.find(incarnation);
             next.push_back({.record = it,
                             .incarnation = std::move(incarnation),
                             .hash = hash,
-                            .leftOutUntil =
-                                    exclusion == m_pauses.end() ? TimePoint() : exclusion->second});
+                            .excludedUntil = exclusion == m_exclusions.end() ? TimePoint()
+                                                                             : exclusion->second});
         }
     }
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_pauses, [now](const auto &it) { return it.second <= now; });
+    std::erase_if(m_exclusions, [now](const auto &it) { return it.second <= now; });
     for (const State &it : m_states) {
         if (it.incarnation.empty())
             continue;
-        if (it.leftOutUntil > now)
-            m_pauses[it.incarnation] = it.leftOutUntil;
+        if (it.excludedUntil > now)
+            m_exclusions[it.incarnation] = it.excludedUntil;
         m_health.removed(it.health);
         m_prompts.remove(it.hash);
     }
@@ -148,36 +148,37 @@
     for (std::size_t i = 0; i < m_states.size(); ++i) {
         m_index.emplace(m_states[i].incarnation, i);
         m_states[i].peersInProgress = 0;
-        m_states[i].ejectedBy = 0;
+        m_states[i].ejectedByPeers = 0;
     }
-    for (const auto &[router, received] : m_heard)
+    for (const auto &[router, received] : m_receivedUpdates)
         add(received.update, 1);
 }
 
-void ReplicaPool::setNews(const std::string &router, ReplicaNews update, TimePoint receivedAt)
+void ReplicaPool::applyStatusUpdate(const std::string &router, ReplicaStatusUpdate update,
+                                    TimePoint receivedAt)
 {
-    forgetSilent();
-    Heard &known = m_heard[router];
+    removeExpiredUpdates();
+    ReceivedUpdate &known = m_receivedUpdates[router];
     add(known.update, -1);
     known = {std::move(update), receivedAt};
     add(known.update, 1);
 }
 
-void ReplicaPool::forgetSilent()
+void ReplicaPool::removeExpiredUpdates()
 {
     const TimePoint now = m_options.clock.now();
-    if (now - m_forgotAt < ForgetInterval)
+    if (now - m_expiryCheckedAt < ExpiryCheckInterval)
         return;
-    m_forgotAt = now;
-    for (auto it = m_heard.begin(); it != m_heard.end();) {
-        const bool expired = now - it->second.receivedAt > CountsLife;
+    m_expiryCheckedAt = now;
+    for (auto it = m_receivedUpdates.begin(); it != m_receivedUpdates.end();) {
+        const bool expired = now - it->second.receivedAt > UpdateLifetime;
         if (expired)
             add(it->second.update, -1);
-        it = expired ? m_heard.erase(it) : std::next(it);
+        it = expired ? m_receivedUpdates.erase(it) : std::next(it);
     }
 }
 
-void ReplicaPool::add(const ReplicaNews &update, int sign)
+void ReplicaPool::add(const ReplicaStatusUpdate &update, int sign)
 {
     for (const auto &[id, n] : update.counts) {
         if (State *it = find(id))
@@ -185,7 +186,7 @@
     }
     for (const std::string &id : update.ejected) {
         if (State *it = find(id))
-            it->ejectedBy += sign;
+            it->ejectedByPeers += sign;
     }
 }
 
@@ -203,31 +204,31 @@
         total += it.load;
     const std::size_t n = list.size();
     if (!m_options.isEngine || !m_options.mechanisms.promptPlacement || query.prompt.empty())
-        return describe(*byLoad(list), {}, total, n);
-    return describe(*byPrompt(list, query.prompt), query.prompt, total, n);
+        return makeChoice(*chooseByLoad(list), {}, total, n);
+    return makeChoice(*chooseByPrompt(list, query.prompt), query.prompt, total, n);
 }
 
-ReplicaPool::Choice ReplicaPool::describe(const State &it, std::span<const PromptPart> prompt,
-                                          double total, std::size_t n) const
+ReplicaPool::Choice ReplicaPool::makeChoice(const State &it, std::span<const PromptPart> prompt,
+                                            double total, std::size_t n) const
 {
     return {.replica = &it.record,
             .copyFrom = prompt.empty() ? nullptr : copySource(it, prompt),
             .load = it.ownInProgress + it.peersInProgress,
             .meanLoad = total / static_cast<double>(n),
             .candidates = static_cast<int>(n),
-            .keptTokens = m_prompts.cachedTokens(it.hash, prompt)};
+            .cachedPromptTokens = m_prompts.cachedTokens(it.hash, prompt)};
 }
 
-std::vector<ReplicaPool::Candidate> ReplicaPool::candidates(const Query &query, bool regardHealth)
+std::vector<ReplicaPool::Candidate> ReplicaPool::candidates(const Query &query, bool checkHealth)
 {
     const TimePoint now = m_options.clock.now();
-    const bool regardNews = mayAvoid();
+    const bool usePeerEjections = mayUsePeerEjections();
     std::vector<Candidate> out;
     out.reserve(m_states.size());
     for (State &it : m_states) {
         if (!isEligible(it, query, now))
             continue;
-        if (regardHealth && !isAdmitted(it, query, regardNews))
+        if (checkHealth && !isHealthy(it, query, usePeerEjections))
             continue;
         out.push_back({&it, static_cast<double>(it.ownInProgress + it.peersInProgress), 0});
     }
@@ -236,24 +237,25 @@
 
 bool ReplicaPool::isEligible(State &it, const Query &query, TimePoint now) const
 {
-    return !it.record.draining && now >= it.leftOutUntil && mayTake(query, it.incarnation)
-            && !isEvacuated(it) && isAllowed(it, query) && !bearsNone(it, now);
+    return !it.record.draining && now >= it.excludedUntil && isSelectable(query, it.incarnation)
+            && !isEvacuated(it) && isRegionAllowed(it, query) && !isColdRateLimited(it, now);
 }
 
 void ReplicaPool::setEvacuated(std::set<std::string> domains)
 {
-    const TimePoint until = m_options.clock.now() + EntryLag;
+    const TimePoint until = m_options.clock.now() + MaxEntryDelay;
     for (State &it : m_states) {
         if (isEvacuated(it) && !domains.contains(it.record.failureDomain))
-            it.maybeColdUntil = std::max(it.maybeColdUntil, until);
+            it.assumedColdUntil = std::max(it.assumedColdUntil, until);
     }
     m_evacuated = std::move(domains);
 }
 
-void ReplicaPool::noteAway(std::string_view id)
+void ReplicaPool::noteUnreachable(std::string_view id)
 {
     if (State *it = find(id))
-        it->maybeColdUntil = std::max(it->maybeColdUntil, m_options.clock.now() + AwayCold);
+        it->assumedColdUntil =
+                std::max(it->assumedColdUntil, m_options.clock.now() + UnreachableColdTime);
 }
 
 bool ReplicaPool::isEvacuated(const State &it) const
@@ -261,7 +263,7 @@
     return !m_evacuated.empty() && m_evacuated.contains(it.record.failureDomain);
 }
 
-bool ReplicaPool::isAllowed(const State &it, const Query &query) const
+bool ReplicaPool::isRegionAllowed(const State &it, const Query &query) const
 {
     if (query.regions.empty() && query.workspaceRegions.empty())
         return true;
@@ -270,45 +272,46 @@
             && (query.workspaceRegions.empty() || contains(query.workspaceRegions, region));
 }
 
-bool ReplicaPool::bearsNone(State &it, TimePoint now) const
+bool ReplicaPool::isColdRateLimited(State &it, TimePoint now) const
 {
-    if (m_coldLimit <= 0 || now >= std::max(it.record.coldUntil, it.maybeColdUntil))
+    if (m_coldRateLimit <= 0 || now >= std::max(it.record.coldUntil, it.assumedColdUntil))
         return false;
-    const ColdPace limit = ColdPace::shareOf(m_coldLimit, m_options.routers());
-    if (it.senderCheckedAt == TimePoint::min() || now - it.senderCheckedAt >= SenderLife) {
+    const ColdRateLimit limit = ColdRateLimit::fromFleetLimit(m_coldRateLimit, m_options.routers());
+    if (it.senderCheckedAt == TimePoint::min() || now - it.senderCheckedAt >= ColdSenderLifetime) {
         it.senderCheckedAt = now;
         it.isColdSender = m_options.isColdSender(it.incarnation, limit.senders);
     }
-    return !it.isColdSender || (it.sentAt != TimePoint::min() && now - it.sentAt < limit.spacing);
+    return !it.isColdSender
+            || (it.lastSentAt != TimePoint::min() && now - it.lastSentAt < limit.minInterval);
 }
 
-bool ReplicaPool::isAdmitted(State &it, const Query &query, bool regardNews)
+bool ReplicaPool::isHealthy(State &it, const Query &query, bool usePeerEjections)
 {
     const TimePoint now = m_options.clock.now();
-    if (!m_health.admits(it.health, now) || (regardNews && isAvoided(it)))
+    if (!m_health.admits(it.health, now) || (usePeerEjections && isEjectedByPeers(it)))
         return false;
     const bool probe = it.health.state == HealthTracker::State::HalfOpen;
-    return !probe || query.repeatable || now - it.health.ejectedUntil > ProbeGrace;
+    return !probe || query.retryable || now - it.health.ejectedUntil > ProbeGrace;
 }
 
-bool ReplicaPool::isAvoided(const State &it) const
+bool ReplicaPool::isEjectedByPeers(const State &it) const
 {
-    return m_options.mechanisms.toldEjections && it.ejectedBy >= MinEjectors
+    return m_options.mechanisms.toldEjections && it.ejectedByPeers >= MinPeerEjections
             && it.health.state == HealthTracker::State::Healthy
-            && m_options.clock.now() - it.answeredAt > OwnEvidenceLife;
+            && m_options.clock.now() - it.lastSuccessAt > OwnSuccessLifetime;
 }
 
-bool ReplicaPool::mayAvoid() const
+bool ReplicaPool::mayUsePeerEjections() const
 {
     const auto avoided = std::count_if(m_states.begin(), m_states.end(),
-                                       [this](const State &it) { return isAvoided(it); });
+                                       [this](const State &it) { return isEjectedByPeers(it); });
     const double share = m_health.maxEjectedShare();
     return static_cast<double>(avoided + m_health.ejectedCount())
             <= share * static_cast<double>(m_states.size());
 }
 
-ReplicaPool::State *ReplicaPool::byPrompt(std::vector<Candidate> &list,
-                                          std::span<const PromptPart> prompt) const
+ReplicaPool::State *ReplicaPool::chooseByPrompt(std::vector<Candidate> &list,
+                                                std::span<const PromptPart> prompt) const
 {
     double tokens = 0;
     for (const PromptPart &it : prompt)
@@ -326,13 +329,13 @@
                 + TokensPerRequest * std::max(0.0, it.load - mean);
         minCost = std::min(minCost, it.cost);
     }
-    const double maxCost = minCost + std::max(EqualTokens, EqualPart * tokens);
+    const double maxCost = minCost + std::max(EqualCostTokens, EqualCostShare * tokens);
     std::erase_if(list, [=](const Candidate &it) { return it.cost > maxCost; });
-    return firstOrSecond(list, prompt.back().id);
+    return chooseByRendezvous(list, prompt.back().id);
 }
 
-ReplicaPool::State *ReplicaPool::firstOrSecond(const std::vector<Candidate> &list,
-                                               std::uint64_t key)
+ReplicaPool::State *ReplicaPool::chooseByRendezvous(const std::vector<Candidate> &list,
+                                                    std::uint64_t key)
 {
     const Candidate *first = nullptr;
     const Candidate *second = nullptr;
@@ -361,7 +364,7 @@
     const ReplicaRecord *best = nullptr;
     double bestTokens = m_prompts.cachedTokens(target.hash, prompt) + MinCopiedTokens;
     for (const State &it : m_states) {
-        if (&it == &target || now < it.leftOutUntil)
+        if (&it == &target || now < it.excludedUntil)
             continue;
         const double tokens = m_prompts.cachedTokens(it.hash, prompt);
         if (tokens > bestTokens) {
@@ -372,7 +375,7 @@
     return best;
 }
 
-ReplicaPool::State *ReplicaPool::byLoad(const std::vector<Candidate> &list) const
+ReplicaPool::State *ReplicaPool::chooseByLoad(const std::vector<Candidate> &list) const
 {
     State *best = nullptr;
     double bestCost = 0;
@@ -382,7 +385,7 @@
         // The random factor prevents all routers with the same counts from choosing the same
         // replica.
         const double cost =
-                share * (isLocal ? DomainBonus : 1) * (1 + 0.05 * uniform(m_options.random));
+                share * (isLocal ? LocalDomainFactor : 1) * (1 + 0.05 * uniform(m_options.random));
         if (!best || cost < bestCost) {
             best = it.state;
             bestCost = cost;
@@ -413,7 +416,7 @@
     if (!it)
         return;
     ++it->ownInProgress;
-    it->sentAt = m_options.clock.now();
+    it->lastSentAt = m_options.clock.now();
     it->health.probing = it->health.state == HealthTracker::State::HalfOpen;
     for (const PromptPart &part : prompt)
         m_prompts.note(it->hash, part.id);
@@ -446,19 +449,19 @@
     if (!it)
         return false;
     it->ownInProgress = std::max(0, it->ownInProgress - 1);
-    if (!report.succeeded && (report.reason == Reason::CallerGone || report.blameless)) {
+    if (!report.succeeded && (report.reason == Reason::CallerGone || report.ignoredForHealth)) {
         it->health.probing = false;
         return false;
     }
     const TimePoint now = m_options.clock.now();
     if (report.succeeded)
-        it->answeredAt = now;
+        it->lastSuccessAt = now;
     bool changed = m_health.record(it->health, 1, report, m_states.size(), now);
     // With 140 engines a router sends each of them only one request in twelve seconds, so waiting
     // for a third timeout would take too long.
     const bool timedOut = !report.succeeded && report.reason == Reason::UpstreamTimeout;
     if (m_options.isEngine && timedOut)
-        changed = m_health.ejectAtOnce(it->health, m_states.size(), now) || changed;
+        changed = m_health.ejectImmediately(it->health, m_states.size(), now) || changed;
     if (!changed)
         return false;
     const bool ejected = it->health.state == HealthTracker::State::Ejected;
@@ -467,37 +470,37 @@
                {"service", it->record.service},
                {"failures_in_row", it->health.failuresInRow},
                {"error_rate", it->health.errorRate},
-               {"ejected_by_others", it->ejectedBy},
+               {"ejected_by_others", it->ejectedByPeers},
                {"for_ms", ejected ? (it->health.ejectedUntil - now) / 1ms : 0}});
     return ejected;
 }
 
-void ReplicaPool::leaveOut(std::string_view id, Duration duration)
+void ReplicaPool::excludeFor(std::string_view id, Duration duration)
 {
     if (State *it = find(id))
-        it->leftOutUntil = std::max(it->leftOutUntil, m_options.clock.now() + duration);
+        it->excludedUntil = std::max(it->excludedUntil, m_options.clock.now() + duration);
 }
 
-Duration ReplicaPool::untilReturn() const
+Duration ReplicaPool::timeUntilAvailable() const
 {
     const TimePoint now = m_options.clock.now();
     std::optional<Duration> out;
     for (const State &it : m_states) {
         if (!it.record.draining && !isEvacuated(it))
-            out = std::min(out.value_or(Duration::max()), it.leftOutUntil - now);
+            out = std::min(out.value_or(Duration::max()), it.excludedUntil - now);
     }
     return std::max(Duration::zero(), out.value_or(Duration::zero()));
 }
 
-ReplicaNews ReplicaPool::ownNews() const
+ReplicaStatusUpdate ReplicaPool::ownStatusUpdate() const
 {
     const TimePoint now = m_options.clock.now();
-    ReplicaNews out;
+    ReplicaStatusUpdate out;
     for (const State &it : m_states) {
         if (it.ownInProgress > 0)
             out.counts.emplace(it.incarnation, it.ownInProgress);
         if (it.health.state == HealthTracker::State::Ejected && now < it.health.ejectedUntil
-            && out.ejected.size() < MaxToldEjected)
+            && out.ejected.size() < MaxAnnouncedEjections)
             out.ejected.push_back(it.incarnation);
     }
     return out;
@@ -528,7 +531,7 @@
     const TimePoint now = m_options.clock.now();
     return static_cast<std::size_t>(
             std::count_if(m_states.begin(), m_states.end(), [this, now](const State &it) {
-                return !it.record.draining && now >= it.leftOutUntil && !isEvacuated(it);
+                return !it.record.draining && now >= it.excludedUntil && !isEvacuated(it);
             }));
 }
 
--- a/src/Decide/ReplicaPool.h
+++ b/src/Decide/ReplicaPool.h
@@ -25,7 +25,7 @@
 using ReplicaCounts = std::map<std::string, int, std::less<>>;
 
 /// \brief What one router announces to the others about replicas.
-struct ReplicaNews
+struct ReplicaStatusUpdate
 {
     /// Incarnations that have notified the router that they are leaving.
     std::vector<std::string> leaving = {};
@@ -61,7 +61,7 @@
 /// probe whether it has recovered.
 ///
 /// A replica in an evacuated failure domain gets no requests at all; a cold one at most this
-/// router's part of its rate limit, \sa ColdPace. Both rules apply also if no other replica is
+/// router's part of its rate limit, \sa ColdRateLimit. Both rules apply also if no other replica is
 /// left.
 ///
 /// An engine is ejected at its first timeout. A router sends each engine so few requests that
@@ -91,7 +91,7 @@
         std::span<const PromptPart> prompt = {}; ///< Parts that other requests may have in common.
         std::span<const std::string> excluded = {}; ///< Incarnations on which an attempt failed.
         std::span<const std::string> only = {}; ///< If not empty: the only incarnations allowed.
-        bool repeatable = true; ///< The request may be retried after a failed attempt.
+        bool retryable = true; ///< The request may be retried after a failed attempt.
         /// Regions of replicas that the route and the workspace allow; empty: all.
         std::span<const std::string> regions = {};
         std::span<const std::string> workspaceRegions = {};
@@ -105,7 +105,8 @@
         int load = 0; ///< Known requests in progress on the replica.
         double meanLoad = 0; ///< Mean load of the candidates.
         int candidates = 0; ///< Number of replicas that the replica was chosen from.
-        double keptTokens = 0; ///< Estimate of the prompt's tokens that the replica has cached.
+        double cachedPromptTokens =
+                0; ///< Estimate of the prompt's tokens that the replica has cached.
     };
 
     explicit ReplicaPool(Options options);
@@ -119,14 +120,15 @@
 
     /// \brief Records that replica \a id was unreachable or has terminated: if it returns, it is
     /// assumed to be cold until its registry entry is up to date.
-    void noteAway(std::string_view id);
+    void noteUnreachable(std::string_view id);
 
     /// \brief Sets the rate limit of a cold replica, in requests per second from all routers
     /// together; 0: no limit.
-    void setColdLimit(double requestsPerSecond) { m_coldLimit = requestsPerSecond; }
+    void setColdRateLimit(double requestsPerSecond) { m_coldRateLimit = requestsPerSecond; }
 
     /// \brief Replaces the last update of \a router by \a update.
-    void setNews(const std::string &router, ReplicaNews update, TimePoint receivedAt);
+    void applyStatusUpdate(const std::string &router, ReplicaStatusUpdate update,
+                           TimePoint receivedAt);
 
     /// \returns the replica that a request with the properties \a query should be sent to.
     Choice choose(const Query &query);
@@ -142,7 +144,7 @@
     PromptsByReplica prompts(std::size_t maxParts) const;
 
     /// \returns whether no cached prompts of any replica are known.
-    bool knowsNoPrompts() const { return m_prompts.isEmpty(); }
+    bool isPromptIndexEmpty() const { return m_prompts.isEmpty(); }
 
     /// \brief Ends a request counted by started() and updates the replica's health by \a report.
     /// \returns whether this ejected the replica; the ejection should then be announced.
@@ -151,14 +153,14 @@
     /// \brief Excludes replica \a id for \a duration, because it requested a pause, refused a
     /// connection, or its address belongs to another replica. A longer exclusion remains in effect,
     /// also if the replica's entry is removed and added again.
-    void leaveOut(std::string_view id, Duration duration);
+    void excludeFor(std::string_view id, Duration duration);
 
     /// \returns the time until the first replica that is neither draining nor evacuated is no
     /// longer excluded; zero if one is not excluded or there is none.
-    Duration untilReturn() const;
+    Duration timeUntilAvailable() const;
 
     /// \returns the update that this router announces to the others.
-    ReplicaNews ownNews() const;
+    ReplicaStatusUpdate ownStatusUpdate() const;
 
     /// \returns the known requests in progress on replica \a id from all routers.
     int inProgress(std::string_view id) const;
@@ -184,18 +186,18 @@
         std::uint64_t hash = 0;
         int ownInProgress = 0; ///< Requests in progress from this router.
         int peersInProgress = 0; ///< The same from the other routers, by their last updates.
-        int ejectedBy = 0; ///< Other routers that have ejected it, by their last updates.
-        TimePoint answeredAt = {}; ///< Last successful answer to this router.
-        TimePoint leftOutUntil = {};
-        TimePoint maybeColdUntil = {}; ///< Its entry may not show it yet.
-        TimePoint sentAt = TimePoint::min(); ///< Last request from this router.
+        int ejectedByPeers = 0; ///< Other routers that have ejected it, by their last updates.
+        TimePoint lastSuccessAt = {}; ///< Last successful answer to this router.
+        TimePoint excludedUntil = {};
+        TimePoint assumedColdUntil = {}; ///< Its entry may not show it yet.
+        TimePoint lastSentAt = TimePoint::min(); ///< Last request from this router.
         bool isColdSender = false; ///< \sa Options::isColdSender, as of senderCheckedAt.
         TimePoint senderCheckedAt = TimePoint::min();
         HealthTracker::Entry health = {};
     };
-    struct Heard
+    struct ReceivedUpdate
     {
-        ReplicaNews update;
+        ReplicaStatusUpdate update;
         TimePoint receivedAt;
     };
     struct Candidate
@@ -207,33 +209,33 @@
 
     State *find(std::string_view id);
     const State *find(std::string_view id) const;
-    Choice describe(const State &it, std::span<const PromptPart> prompt, double total,
-                    std::size_t n) const;
-    std::vector<Candidate> candidates(const Query &query, bool regardHealth);
-    bool isAdmitted(State &it, const Query &query, bool regardNews);
+    Choice makeChoice(const State &it, std::span<const PromptPart> prompt, double total,
+                      std::size_t n) const;
+    std::vector<Candidate> candidates(const Query &query, bool checkHealth);
+    bool isHealthy(State &it, const Query &query, bool usePeerEjections);
     bool isEligible(State &it, const Query &query, TimePoint now) const;
-    bool isAllowed(const State &it, const Query &query) const;
+    bool isRegionAllowed(const State &it, const Query &query) const;
     bool isEvacuated(const State &it) const;
-    bool bearsNone(State &it, TimePoint now) const;
-    bool isAvoided(const State &it) const;
-    bool mayAvoid() const;
-    State *byPrompt(std::vector<Candidate> &list, std::span<const PromptPart> prompt) const;
-    static State *firstOrSecond(const std::vector<Candidate> &list, std::uint64_t key);
-    State *byLoad(const std::vector<Candidate> &list) const;
+    bool isColdRateLimited(State &it, TimePoint now) const;
+    bool isEjectedByPeers(const State &it) const;
+    bool mayUsePeerEjections() const;
+    State *chooseByPrompt(std::vector<Candidate> &list, std::span<const PromptPart> prompt) const;
+    static State *chooseByRendezvous(const std::vector<Candidate> &list, std::uint64_t key);
+    State *chooseByLoad(const std::vector<Candidate> &list) const;
     const ReplicaRecord *copySource(const State &target, std::span<const PromptPart> prompt) const;
     void rebuildIndex();
-    void forgetSilent();
-    void add(const ReplicaNews &update, int sign);
+    void removeExpiredUpdates();
+    void add(const ReplicaStatusUpdate &update, int sign);
     void updateBaseline();
 
     Options m_options;
     std::vector<State> m_states;
     std::map<std::string, std::size_t, std::less<>> m_index; ///< Into m_states, by incarnation.
-    std::map<std::string, TimePoint, std::less<>> m_pauses; ///< Of replicas without an entry.
-    std::map<std::string, Heard> m_heard; ///< Last update by router.
+    std::map<std::string, TimePoint, std::less<>> m_exclusions; ///< Of replicas without an entry.
+    std::map<std::string, ReceivedUpdate> m_receivedUpdates; ///< Last update by router.
     std::set<std::string> m_evacuated; ///< Failure domains.
-    double m_coldLimit = 0; ///< \sa setColdLimit()
-    TimePoint m_forgotAt;
+    double m_coldRateLimit = 0; ///< \sa setColdRateLimit()
+    TimePoint m_expiryCheckedAt;
     HealthTracker m_health;
     PromptIndex m_prompts;
     TimePoint m_baselineAt;
--- a/test/IdleTrustTest.cpp
+++ b/test/ConnectionReusePolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/IdleTrust.h"
+#include "Decide/ConnectionReusePolicy.h"
 #include "Base/ManualClock.h"
 #include "Base/Random.h"
 
@@ -12,7 +12,7 @@
 struct IdleTrustFixture
 {
     ManualClock clock;
-    IdleTrust trust{{.clock = clock}};
+    ConnectionReusePolicy trust{{.clock = clock}};
 
     /// \returns how many of \a n calls are lost if connections are idle for random times up to
     /// \a maxIdleTime between two calls and are dropped after \a droppedAfter.
@@ -22,12 +22,12 @@
         int lost = 0;
         for (int i = 0; i < n; ++i) {
             clock.advance(50ms);
-            const Duration rested = scaled(maxIdleTime, uniform(random));
-            const bool reused = rested < trust.limit(false);
-            if (!reused || rested < droppedAfter)
+            const Duration idleTime = scaled(maxIdleTime, uniform(random));
+            const bool reused = idleTime < trust.limit(false);
+            if (!reused || idleTime < droppedAfter)
                 continue;
             ++lost;
-            trust.broke(rested, 2ms);
+            trust.reportBroken(idleTime, 2ms);
         }
         return lost;
     }
@@ -53,7 +53,7 @@
 TEST_CASE_FIXTURE(IdleTrustFixture,
                   "connectionReusePolicy_noneDroppedAnymore_limitRecoversWithinAMinute")
 {
-    CHECK(trust.broke(400ms, 1ms));
+    CHECK(trust.reportBroken(400ms, 1ms));
     CHECK(trust.limit(false) == 200ms);
     clock.advance(9s);
     CHECK(trust.limit(false) == 200ms);
@@ -66,8 +66,8 @@
 TEST_CASE_FIXTURE(IdleTrustFixture,
                   "connectionReusePolicy_connectionBreaksForOtherReasons_limitIsUnchanged")
 {
-    CHECK_FALSE(trust.broke(0s, 1ms)); // a new connection
-    CHECK_FALSE(trust.broke(30ms, 1ms)); // idle for less than minLimit
-    CHECK_FALSE(trust.broke(3s, 40ms)); // broke too late for a reset
+    CHECK_FALSE(trust.reportBroken(0s, 1ms)); // a new connection
+    CHECK_FALSE(trust.reportBroken(30ms, 1ms)); // idle for less than minLimit
+    CHECK_FALSE(trust.reportBroken(3s, 40ms)); // broke too late for a reset
     CHECK(trust.limit(false) == 6s);
 }
--- a/test/PromptPaceTest.cpp
+++ b/test/PrefillTimeoutTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/PromptPace.h"
+#include "Decide/PrefillTimeout.h"
 
 #include <doctest/doctest.h>
 
@@ -22,38 +22,38 @@
             timeout.observe(tokens, prefillTime(tokens, slowdown));
     }
 
-    PromptPace timeout;
+    PrefillTimeout timeout;
 };
 
 } // namespace
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_noMeasurement_longPromptsHaveTime")
 {
-    CHECK(timeout.allowance(30'000) > prefillTime(30'000, 2));
-    CHECK(timeout.allowance(0) == Duration::zero());
-    CHECK(timeout.allowance(-5) == Duration::zero());
+    CHECK(timeout.timeoutFor(30'000) > prefillTime(30'000, 2));
+    CHECK(timeout.timeoutFor(0) == Duration::zero());
+    CHECK(timeout.timeoutFor(-5) == Duration::zero());
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture,
                   "prefillTimeout_measured_coversABusyEngineButNotAnUnresponsiveOne")
 {
     process(50, 10'000, 1.2);
-    CHECK(timeout.allowance(30'000) > prefillTime(30'000, 2.4));
-    CHECK(timeout.allowance(30'000) < prefillTime(30'000, 5));
-    CHECK(timeout.allowance(700) < 100ms);
+    CHECK(timeout.timeoutFor(30'000) > prefillTime(30'000, 2.4));
+    CHECK(timeout.timeoutFor(30'000) < prefillTime(30'000, 5));
+    CHECK(timeout.timeoutFor(700) < 100ms);
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_shortPrompts_areIgnored")
 {
-    const Duration before = timeout.allowance(10'000);
+    const Duration before = timeout.timeoutFor(10'000);
     for (int i = 0; i < 100; ++i)
         timeout.observe(100, 900ms);
-    CHECK(timeout.allowance(10'000) == before);
+    CHECK(timeout.timeoutFor(10'000) == before);
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_onePromptDelayed_timeoutGrowsOnlyALittle")
 {
     process(50, 10'000);
     timeout.observe(1000, 60s);
-    CHECK(timeout.allowance(10'000) < 2s);
+    CHECK(timeout.timeoutFor(10'000) < 2s);
 }
--- a/test/StepTable.h
+++ b/test/StepTable.h
@@ -20,7 +20,7 @@
         LostAnswer, ///< Takes effect; the caller gets the verdict MayHaveRun.
         LostRequest, ///< Takes no effect; the caller gets the verdict MayHaveRun.
         Refused, ///< Takes no effect; the caller gets the verdict NotRun.
-        Late, ///< The caller gets the verdict MayHaveRun; takes effect in a later landLate().
+        Late, ///< The caller gets the verdict MayHaveRun; takes effect in a later applyLate().
     };
 
     void read(std::vector<std::string> keys, Callback<std::vector<TableRow>> done) override
@@ -61,7 +61,7 @@
     }
 
     /// \brief Applies the commits that were completed with Fate::Late.
-    void landLate()
+    void applyLate()
     {
         for (const TableTransaction &it : std::exchange(m_late, {}))
             apply(it);
