--- a/src/Decide/LoadShedder.cpp
+++ b/src/Decide/LoadShedder.cpp
@@ -64,7 +64,8 @@
 void LoadShedder::update(const std::string &replica, bool full, std::size_t usable)
 {
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_reports, [=](const auto &it) { return now - it.second.at > ReportLifetime; });
+    std::erase_if(m_reports,
+                  [=](const auto &it) { return now - it.second.receivedAt > ReportLifetime; });
     m_reports[replica] = {now, full};
     if (!full) {
         m_share = std::min(1.0, m_share + Increase);
--- a/src/Decide/LoadShedder.h
+++ b/src/Decide/LoadShedder.h
@@ -62,7 +62,7 @@
 private:
     struct ReplicaReport
     {
-        TimePoint at;
+        TimePoint receivedAt;
         bool full = false; ///< A call that arrived at that time would be late.
     };
 
--- a/test/ConnectionReusePolicyTest.cpp
+++ b/test/ConnectionReusePolicyTest.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-struct IdleTrustFixture
+struct ConnectionReusePolicyFixture
 {
     ManualClock clock;
-    ConnectionReusePolicy trust{{.clock = clock}};
+    ConnectionReusePolicy policy{{.clock = clock}};
 
     /// \returns how many of \a n calls are lost if connections are idle for random times up to
     /// \a maxIdleTime between two calls and are dropped after \a droppedAfter.
@@ -23,11 +23,11 @@
         for (int i = 0; i < n; ++i) {
             clock.advance(50ms);
             const Duration idleTime = scaled(maxIdleTime, uniform(random));
-            const bool reused = idleTime < trust.limit(false);
+            const bool reused = idleTime < policy.limit(false);
             if (!reused || idleTime < droppedAfter)
                 continue;
             ++lost;
-            trust.reportBroken(idleTime, 2ms);
+            policy.reportBroken(idleTime, 2ms);
         }
         return lost;
     }
@@ -35,39 +35,40 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(IdleTrustFixture,
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
                   "connectionReusePolicy_noConnectionDropped_longIdleTimesAreAllowed")
 {
-    CHECK(trust.limit(false) == 6s);
-    CHECK(trust.limit(true) == 12s);
+    CHECK(policy.limit(false) == 6s);
+    CHECK(policy.limit(true) == 12s);
     CHECK(lostCalls(1000, 5s, 6s) == 0);
-    CHECK(trust.limit(false) == 6s);
+    CHECK(policy.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "connectionReusePolicy_idleConnectionsDropped_fewCallsAreLost")
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
+                  "connectionReusePolicy_idleConnectionsDropped_fewCallsAreLost")
 {
     // Without a limit 280 of these 400 calls in 20 seconds would be sent on a dropped connection.
     CHECK(lostCalls(400, 1s, 300ms) <= 4);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture,
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
                   "connectionReusePolicy_noneDroppedAnymore_limitRecoversWithinAMinute")
 {
-    CHECK(trust.reportBroken(400ms, 1ms));
-    CHECK(trust.limit(false) == 200ms);
+    CHECK(policy.reportBroken(400ms, 1ms));
+    CHECK(policy.limit(false) == 200ms);
     clock.advance(9s);
-    CHECK(trust.limit(false) == 200ms);
+    CHECK(policy.limit(false) == 200ms);
     clock.advance(1s);
-    CHECK(trust.limit(false) == 400ms);
+    CHECK(policy.limit(false) == 400ms);
     clock.advance(50s);
-    CHECK(trust.limit(false) == 6s);
+    CHECK(policy.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture,
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
                   "connectionReusePolicy_connectionBreaksForOtherReasons_limitIsUnchanged")
 {
-    CHECK_FALSE(trust.reportBroken(0s, 1ms)); // a new connection
-    CHECK_FALSE(trust.reportBroken(30ms, 1ms)); // idle for less than minLimit
-    CHECK_FALSE(trust.reportBroken(3s, 40ms)); // broke too late for a reset
-    CHECK(trust.limit(false) == 6s);
+    CHECK_FALSE(policy.reportBroken(0s, 1ms)); // a new connection
+    CHECK_FALSE(policy.reportBroken(30ms, 1ms)); // idle for less than minLimit
+    CHECK_FALSE(policy.reportBroken(3s, 40ms)); // broke too late for a reset
+    CHECK(policy.limit(false) == 6s);
 }
--- a/test/FleetRetryBudgetTest.cpp
+++ b/test/FleetRetryBudgetTest.cpp
@@ -15,9 +15,9 @@
 constexpr double Slack = 58;
 
 /// Routers that receive no messages from each other, and a service that fails all requests.
-struct RepeatBudgetFixture
+struct FleetRetryBudgetFixture
 {
-    explicit RepeatBudgetFixture(int n = 9)
+    explicit FleetRetryBudgetFixture(int n = 9)
     {
         for (int i = 0; i < n; ++i)
             routers.push_back(FleetRetryBudget({.clock = clock, .share = Share, .slack = Slack}));
@@ -63,13 +63,13 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture,
+TEST_CASE_FIXTURE(FleetRetryBudgetFixture,
                   "fleetRetryBudget_everythingFails_allRoutersTogetherStayWithinTheLimit")
 {
     CHECK(run(40, 3) <= 0);
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture,
+TEST_CASE_FIXTURE(FleetRetryBudgetFixture,
                   "fleetRetryBudget_fewRequestsPerRouter_allTogetherStayWithinTheLimit")
 {
     CHECK(run(5, 1) <= 0);
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "fleetRetryBudget_singleFailures_areRetried")
+TEST_CASE_FIXTURE(FleetRetryBudgetFixture, "fleetRetryBudget_singleFailures_areRetried")
 {
     int allowed = 0;
     for (int i = 0; i < 100; ++i) {
@@ -93,7 +93,7 @@
     CHECK(allowed == 10);
 }
 
-TEST_CASE_FIXTURE(RepeatBudgetFixture, "fleetRetryBudget_zeroShareAndSlack_allowsNothing")
+TEST_CASE_FIXTURE(FleetRetryBudgetFixture, "fleetRetryBudget_zeroShareAndSlack_allowsNothing")
 {
     routers[0].setOptions(0, 0);
     routers[0].countRequest();
--- a/test/PrefillTimeoutTest.cpp
+++ b/test/PrefillTimeoutTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// An engine that processes 64 prompt tokens a millisecond when it is otherwise idle.
-struct PromptPaceFixture
+struct PrefillTimeoutFixture
 {
     static Duration prefillTime(double tokens, double slowdown = 1)
     {
@@ -27,14 +27,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_noMeasurement_longPromptsHaveTime")
+TEST_CASE_FIXTURE(PrefillTimeoutFixture, "prefillTimeout_noMeasurement_longPromptsHaveTime")
 {
     CHECK(timeout.timeoutFor(30'000) > prefillTime(30'000, 2));
     CHECK(timeout.timeoutFor(0) == Duration::zero());
     CHECK(timeout.timeoutFor(-5) == Duration::zero());
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture,
+TEST_CASE_FIXTURE(PrefillTimeoutFixture,
                   "prefillTimeout_measured_coversABusyEngineButNotAnUnresponsiveOne")
 {
     process(50, 10'000, 1.2);
@@ -43,7 +43,7 @@
     CHECK(timeout.timeoutFor(700) < 100ms);
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_shortPrompts_areIgnored")
+TEST_CASE_FIXTURE(PrefillTimeoutFixture, "prefillTimeout_shortPrompts_areIgnored")
 {
     const Duration before = timeout.timeoutFor(10'000);
     for (int i = 0; i < 100; ++i)
@@ -51,7 +51,7 @@
     CHECK(timeout.timeoutFor(10'000) == before);
 }
 
-TEST_CASE_FIXTURE(PromptPaceFixture, "prefillTimeout_onePromptDelayed_timeoutGrowsOnlyALittle")
+TEST_CASE_FIXTURE(PrefillTimeoutFixture, "prefillTimeout_onePromptDelayed_timeoutGrowsOnlyALittle")
 {
     process(50, 10'000);
     timeout.observe(1000, 60s);
--- a/test/ReplicaPoolTest.cpp
+++ b/test/ReplicaPoolTest.cpp
@@ -366,10 +366,10 @@
     {
         const ReplicaPool::Choice choice = pool.choose({.retryable = retryable});
         const std::string id = choice.replica->id;
-        const bool well = id != failing && uniform(random) >= failureRate;
+        const bool succeeds = id != failing && uniform(random) >= failureRate;
         pool.started(id);
-        pool.finished(id, {.succeeded = well, .reason = Reason::UpstreamBroken, .total = 20ms});
-        return well;
+        pool.finished(id, {.succeeded = succeeds, .reason = Reason::UpstreamBroken, .total = 20ms});
+        return succeeds;
     }
 
     void sendHeartbeat(std::size_t from, std::size_t fanout)
@@ -493,9 +493,9 @@
         }
     }
 
-    bool isSilent(const std::string &id) const
+    bool isUnresponsive(const std::string &id) const
     {
-        return silent && std::stoi(id.substr(2)) % 5 == 0;
+        return unresponsive && std::stoi(id.substr(2)) % 5 == 0;
     }
 
     /// \returns how many requests are sent to engines that do not answer during \a time.
@@ -523,15 +523,15 @@
         const std::vector<PromptPart> prompt = {{random() % 2000 + 1, 1000}};
         const ReplicaPool::Choice choice = pool.choose({.prompt = prompt});
         const std::string id = choice.replica->id;
-        const bool well = !isSilent(id);
+        const bool succeeds = !isUnresponsive(id);
         pool.started(id, prompt);
-        running.emplace(clock.now() + (well ? 500ms : 1200ms), [&pool, id, well] {
+        running.emplace(clock.now() + (succeeds ? 500ms : 1200ms), [&pool, id, succeeds] {
             pool.finished(id,
-                          {.succeeded = well,
-                           .reason = well ? Reason::Internal : Reason::UpstreamTimeout,
+                          {.succeeded = succeeds,
+                           .reason = succeeds ? Reason::Internal : Reason::UpstreamTimeout,
                            .total = 1s});
         });
-        return well;
+        return succeeds;
     }
 
     void sendHeartbeat(std::size_t from)
@@ -552,7 +552,7 @@
     std::vector<std::unique_ptr<ReplicaPool>> pools;
     std::array<std::size_t, Routers> next = {};
     std::multimap<TimePoint, std::function<void()>> running;
-    bool silent = true;
+    bool unresponsive = true;
 };
 
 } // namespace
@@ -563,24 +563,24 @@
     // Without ejection 1,400 requests would be sent to them in 8 s; 210 are sent before the first
     // timeout.
     const int lost = countUnanswered(8s);
-    MESSAGE("requests to silent engines: ", lost);
+    MESSAGE("requests to unresponsive engines: ", lost);
     CHECK(lost < 600);
 }
 
 TEST_CASE_FIXTURE(UnresponsiveEnginesFixture, "replicaPool_enginesAnswerAgain_areUsedAgain")
 {
     countUnanswered(4s);
-    silent = false;
+    unresponsive = false;
     countUnanswered(25s);
     std::map<std::string, int> used;
     for (int i = 0; i < 20'000; ++i) {
         const std::vector<PromptPart> prompt = {{random() % 2000 + 1, 1000}};
         ++used[pools[random() % Routers]->choose({.prompt = prompt}).replica->id];
     }
-    int well = 0;
+    int recovered = 0;
     for (int i = 0; i < Engines; i += 5)
-        well += used[fmt::format("i-{}", i)] > 20 ? 1 : 0;
-    CHECK(well >= 26);
+        recovered += used[fmt::format("i-{}", i)] > 20 ? 1 : 0;
+    CHECK(recovered >= 26);
 }
 
 TEST_CASE("replicaPool_replicaRestartsUnderSameId_itsStateIsReset")
