--- a/src/Decide/PromptIndex.h
+++ b/src/Decide/PromptIndex.h
@@ -21,9 +21,9 @@
 /// it.
 ///
 /// Handles chats that return within seconds, while each router sends only a part of their requests
-/// and announces the parts to the others. Prevents that a prompt is sent to a replica that has to
-/// process it again, which takes 130 ms of that replica for 10,500 tokens. A wrong entry costs this
-/// time and has no other effect.
+/// and announces the parts to the others. Prevents a prompt from being sent to a replica that has
+/// to process it again, which takes 130 ms of that replica for 10,500 tokens. A wrong entry costs
+/// this time and has no other effect.
 class PromptIndex
 {
 public:
