--- a/src/Control/ConfigInForce.cpp
+++ b/src/Control/ConfigInForce.cpp
@@ -36,7 +36,7 @@
 
 Duration ConfigInForce::proofAge() const
 {
-    // "Never" is the least TimePoint: its age would overflow.
+    // "No proof" is TimePoint::min(); subtracting it would overflow.
     return m_provenAt == TimePoint::min() ? Duration::max() : m_clock.now() - m_provenAt;
 }
 
--- a/src/Control/ConfigInForce.h
+++ b/src/Control/ConfigInForce.h
@@ -7,35 +7,36 @@
 
 namespace catkinloft {
 
-/// \brief The newest revision that this process has seen, and how long ago it was certain that
-/// there was no newer one.
+/// \brief Holds the newest route configuration that this process has seen, and the time at which it
+/// was last proven to be the newest one.
 ///
-/// A revision that was in force here is never followed by an older one, whatever a read of the
-/// store or another router says. Keys that were taken away must not be honoured for long, also by a
-/// router that is cut off: serving a key needs a proof that is young enough. The proof is a read of
-/// the store, dated by when it began, since its answer may be delayed at will. The clock has to
-/// count the time for which a VM is suspended.
+/// The active revision never goes back to an older one, whatever a read of the store or another
+/// router returns. Revoked API keys must stop working soon, also at a router that is partitioned
+/// from the store, so a key is only accepted while the freshness proof is recent enough. The proof
+/// is a read of the store. It is dated by the start of the read, because the answer can be delayed
+/// for any length of time. The clock must include the time for which a VM is suspended.
 class ConfigInForce
 {
 public:
     explicit ConfigInForce(const Clock &clock) : m_clock(clock) { }
 
-    /// \brief Takes over \a config, read from the store by a call that began at \a readBegan.
-    /// \returns false where a newer one is in force, which stays.
+    /// \brief Activates \a config, which was read from the store by a call that started at
+    /// \a readBegan.
+    /// \returns false if the active configuration is newer; it stays active then.
     bool accept(RouteConfigPtr config, TimePoint readBegan);
 
-    /// \brief Notes that at \a readBegan no revision newer than \a revision existed.
+    /// \brief Records that at \a readBegan no revision newer than \a revision existed.
     void confirm(std::uint64_t revision, TimePoint readBegan);
 
-    /// \returns the revision in force; null before the first.
+    /// \returns the active configuration; nullptr before the first one.
     const RouteConfigPtr &config() const { return m_config; }
 
     std::uint64_t revision() const { return m_config ? m_config->revision : 0; }
 
-    /// \returns how old the newest proof is; Duration::max() without one.
+    /// \returns the age of the newest freshness proof; Duration::max() if there is none.
     Duration proofAge() const;
 
-    /// \brief Emitted when another revision came into force.
+    /// \brief Emitted after another revision was activated.
     sigc::signal<void(const RouteConfigPtr &)> &changed() { return m_changed; }
 
 private:
--- a/src/Control/ConfigKeeper.cpp
+++ b/src/Control/ConfigKeeper.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-/// How long a router that reads a higher head waits for a peer to bring the change. At full size
-/// the body is over a megabyte and a peer's delta a few hundred bytes.
+/// How long a router that reads a higher head waits for a peer to send the change before it reads
+/// the body from the object store. With 10,000 engines the body exceeds a megabyte, a peer's delta
+/// is a few hundred bytes.
 constexpr Duration PeersFirst = std::chrono::seconds(2);
 
-/// Reads of whether a commit with a lost answer took effect, and the pause before the first; each
-/// further one is twice as long. Together 6 s: an operator waits no longer for an unknown result.
+/// Number of reads that check whether a commit with a lost answer took effect, and the pause before
+/// the first one. The pause doubles with each read, 6 s in total: an operator does not wait longer
+/// for an unknown result.
 constexpr int MaxSettling = 5;
 constexpr Duration SettlePause = std::chrono::milliseconds(200);
 
-/// Accepted changes kept in the table, two days' worth at 25,000 a day, so that it stays bounded.
+/// Accepted changes kept in the table, so that it stays bounded: two days at 25,000 a day.
 constexpr std::uint64_t KeptHistory = 50'000;
 
 constexpr std::size_t MaxDiffLines = 20;
@@ -85,8 +87,8 @@
 
 bool ConfigKeeper::takeOver(const ConfigDigest &digest, const std::string &text)
 {
-    // The rule that an accepted configuration never reverts rests on this comparison alone:
-    // whoever brings an older text, be it a peer, the store or a late answer, is refused.
+    // This comparison alone guarantees that an accepted configuration never reverts: an older text
+    // is refused, whether it comes from a peer, the store or a delayed answer.
     if (digest.revision <= m_digest.revision)
         return false;
     if (hash64(text) != digest.hash) {
@@ -116,7 +118,7 @@
         done(Error{.reason = Reason::ConfigInvalid, .detail = problemsText(problems)});
         return;
     }
-    // Without an id of the operator's, one of our own still settles a lost answer.
+    // A generated id still allows to resolve a lost answer if the operator sent none.
     if (change.changeId.empty())
         change.changeId = fmt::format("{:016x}", m_options.random());
     auto it = std::make_shared<Proposal>();
@@ -150,12 +152,12 @@
     const ConfigRecord head =
             (row ? config_rows::decode(row->value) : std::nullopt).value_or(ConfigRecord{});
     if (head.digest.revision < it->inForce) {
-        // A table restored from a copy: a new revision above its head would be applied nowhere. A
-        // revision that a peer brought while the answer was on its way proves nothing: that answer
-        // is only old, and the commit below will find out.
+        // The table was restored from a backup: routers would ignore a new revision above its head
+        // as too old. A revision received from a peer during the read is not compared, because the
+        // answer may only be outdated; the commit below detects that case.
         it->done(Error{.reason = Reason::StoreDown,
-                       .detail = fmt::format("the table service shows revision {}, but {} is in "
-                                             "force",
+                       .detail = fmt::format("the table service returned revision {}, but revision "
+                                             "{} is active on this router",
                                              head.digest.revision, it->inForce)});
         return;
     }
@@ -181,7 +183,8 @@
         return false;
     if (first->digest.hash != it->record.digest.hash)
         it->done(Error{.reason = Reason::KeyReused,
-                       .detail = fmt::format("the change id brought revision {} with another text",
+                       .detail = fmt::format("the change id was used for revision {} with another "
+                                             "text",
                                              first->digest.revision)});
     else
         it->done(first->digest.revision);
@@ -192,8 +195,8 @@
 {
     const auto tell = [it, head](const std::string &differs) {
         it->done(Error{.reason = Reason::ConfigConflict,
-                       .detail = fmt::format("made against revision {}, but {} of {} is in force; "
-                                             "it differs by:\n{}",
+                       .detail = fmt::format("the change is based on revision {}, but {} of {} is "
+                                             "active; it differs by:\n{}",
                                              it->change.base, head.digest.revision, head.author,
                                              differs),
                        .figures = {{"base_revision", static_cast<double>(it->change.base)},
@@ -201,7 +204,7 @@
     };
     m_options.objects.get(head.object, [it, tell](Result<std::optional<std::string>> body) {
         tell(body && body.value() ? describeDelta(*body.value(), it->change.text, MaxDiffLines)
-                                  : "(its text can not be read now)\n");
+                                  : "(the text of that revision cannot be read now)\n");
     });
 }
 
@@ -261,8 +264,8 @@
                 } else if (head && head->digest.revision > it->change.base) {
                     lose(it, *head);
                 } else {
-                    // The write may still be on its way: only another one in its place, or time,
-                    // shows that it did not take effect.
+                    // The write may still be in flight: it is only ruled out once another write has
+                    // replaced the head or enough time has passed.
                     settleLater(it);
                 }
             });
@@ -273,8 +276,8 @@
     if (++it->settling > MaxSettling) {
         it->done(Error{.reason = Reason::StoreDown,
                        .verdict = Verdict::MayHaveRun,
-                       .detail = "the table service does not tell whether the change was accepted; "
-                                 "send it again with change id "
+                       .detail = "the table service did not report whether the change was "
+                                 "accepted; send it again with change id "
                                + it->change.changeId,
                        .retryAfter = std::chrono::seconds(5)});
         return;
@@ -301,20 +304,20 @@
         const TableRow *row = config_rows::find(rows.value(), key);
         const auto record = row ? config_rows::decode(row->value) : std::nullopt;
         if (!record) {
-            done(Error{.reason = Reason::NotFound, .detail = "no such revision is kept"});
+            done(Error{.reason = Reason::NotFound, .detail = "the revision is not in the history"});
             return;
         }
-        m_options.objects.get(record->object,
-                              [this, change, done](Result<std::optional<std::string>> body) {
-                                  if (!body || !body.value()) {
-                                      done(Error{.reason = Reason::StoreDown,
-                                                 .detail = "its text can not be read now"});
-                                      return;
-                                  }
-                                  ConfigChange next = change;
-                                  next.text = *body.value();
-                                  propose(std::move(next), done);
-                              });
+        m_options.objects.get(
+                record->object, [this, change, done](Result<std::optional<std::string>> body) {
+                    if (!body || !body.value()) {
+                        done(Error{.reason = Reason::StoreDown,
+                                   .detail = "the text of the revision cannot be read now"});
+                        return;
+                    }
+                    ConfigChange next = change;
+                    next.text = *body.value();
+                    propose(std::move(next), done);
+                });
     });
 }
 
--- a/src/Control/ConfigKeeper.h
+++ b/src/Control/ConfigKeeper.h
@@ -19,20 +19,20 @@
 
 namespace catkinloft {
 
-/// \brief A change of the configuration that an operator proposes.
+/// \brief A configuration change proposed by an operator.
 struct ConfigChange
 {
-    std::string text = {}; ///< The whole new inventory, YAML.
-    std::uint64_t base = 0; ///< Revision that it was made against.
-    std::string changeId = {}; ///< The operator's; a repeated one gets the first result.
+    std::string text = {}; ///< The whole new inventory as YAML.
+    std::uint64_t base = 0; ///< Revision that the change is based on.
+    std::string changeId = {}; ///< Chosen by the operator; a resent id returns the first result.
     std::string author = {};
 };
 
-/// \brief Keeps the configuration in force: a chain of revisions whose head is one row in the
-/// table service, moved by compare-and-set. Applies only higher revisions.
+/// \brief Manages the active configuration: a chain of revisions whose head is one row in the
+/// table service, advanced by compare-and-set. Only higher revisions are activated.
 ///
-/// Load: 25,000 changes a day, from operators who race each other, at a store that can be away and
-/// whose answers can get lost.
+/// Handles 25,000 changes a day from concurrent operators, with a store that can be unavailable and
+/// whose answers can be lost.
 class ConfigKeeper
 {
 public:
@@ -42,47 +42,49 @@
         ObjectStore &objects;
         const Clock &clock;
         RandomSource random;
-        std::function<void(Duration, std::function<void()>)> after; ///< Runs something later.
+        std::function<void(Duration, std::function<void()>)> after; ///< Runs a callback later.
     };
 
     explicit ConfigKeeper(Options options);
 
-    /// \returns the inventory in force; nullptr before the first one.
+    /// \returns the active inventory; nullptr before the first one.
     InventoryPtr current() const { return m_current; }
 
-    /// \returns the YAML text that current() was parsed from.
+    /// \returns the YAML text from which current() was parsed.
     const std::string &text() const { return m_text; }
 
-    /// \returns revision and hash in force; revision 0 before the first one.
+    /// \returns the revision and hash of the active configuration; revision 0 before the first one.
     const ConfigDigest &digest() const { return m_digest; }
 
-    /// \returns when the table service last confirmed the head; TimePoint::min() before.
+    /// \returns when the table service last returned the head; TimePoint::min() before that.
     TimePoint lastConfirmed() const { return m_lastConfirmed; }
 
-    /// \brief Reads the head and takes over a higher revision.
+    /// \brief Reads the head and activates a higher revision.
     void refresh();
 
-    /// \brief Takes over a body that a peer holds as \a digest, if it is higher and whole.
-    /// \returns whether it is in force now.
+    /// \brief Activates \a text as the configuration with \a digest, if its revision is higher than
+    /// the active one and its hash matches.
+    /// \returns whether it is active now.
     bool takeOver(const ConfigDigest &digest, const std::string &text);
 
-    /// \brief Checks and commits \a change; \a done gets the new revision.
+    /// \brief Validates and commits \a change; \a done receives the new revision.
     ///
-    /// An error with Verdict::MayHaveRun says that the store did not tell in time whether the
-    /// change was accepted; the same change id, sent again, settles it.
+    /// An error with Verdict::MayHaveRun means that the store did not report in time whether the
+    /// change was accepted. Sending it again with the same change id returns the outcome.
     void propose(ConfigChange change, std::function<void(Result<std::uint64_t>)> done);
 
-    /// \brief Proposes the text of \a revision as a new revision. \param change all but its text.
+    /// \brief Proposes the text of \a revision as a new revision.
+    /// \param change the change without its text.
     void rollBack(std::uint64_t revision, ConfigChange change,
                   std::function<void(Result<std::uint64_t>)> done);
 
-    /// \brief Reads the newest \a limit accepted changes, newest first.
+    /// \brief Reads the latest accepted changes, at most \a limit, newest first.
     void history(std::size_t limit, std::function<void(Result<std::vector<ConfigRecord>>)> done);
 
-    /// \brief Emitted after a higher revision took effect here.
+    /// \brief Emitted after a higher revision was activated.
     sigc::signal<void(InventoryPtr)> &changed() { return m_changed; }
 
-    /// \brief Emitted before that, with the text in force until now.
+    /// \brief Emitted with the new text before it is activated; text() still returns the old one.
     sigc::signal<void(const std::string &)> &replacing() { return m_replacing; }
 
 private:
@@ -90,10 +92,10 @@
     {
         ConfigChange change;
         ConfigRecord record;
-        std::uint64_t inForce = 0; ///< Revision in force here when the head was asked for.
+        std::uint64_t inForce = 0; ///< Active revision when the read of the head was started.
         std::uint64_t headVersion = 0;
-        std::string expiredChangeId; ///< Of the history row that this change pushes out.
-        int settling = 0; ///< Reads so far of whether the commit took effect.
+        std::string expiredChangeId; ///< Of the history row that this change removes.
+        int settling = 0; ///< Reads so far that checked whether the commit took effect.
         std::function<void(Result<std::uint64_t>)> done;
     };
     using ProposalPtr = std::shared_ptr<Proposal>;
@@ -113,7 +115,7 @@
     InventoryPtr m_current;
     std::string m_text;
     ConfigDigest m_digest;
-    std::uint64_t m_fetching = 0; ///< Revision whose body is being fetched.
+    std::uint64_t m_fetching = 0; ///< Revision whose body is being fetched; 0: none.
     TimePoint m_lastConfirmed = TimePoint::min();
     sigc::signal<void(InventoryPtr)> m_changed;
     sigc::signal<void(const std::string &)> m_replacing;
--- a/src/Control/ConfigRecords.cpp
+++ b/src/Control/ConfigRecords.cpp
@@ -18,7 +18,7 @@
 
 std::string changeKey(std::string_view changeId)
 {
-    // Hashed, because an operator's id may hold what a row key may not.
+    // Hashed, because an operator's id may contain characters that a row key may not.
     return "config/change/" + sha256Hex(changeId).substr(0, 32);
 }
 
--- a/src/Control/ConfigRecords.h
+++ b/src/Control/ConfigRecords.h
@@ -10,7 +10,7 @@
 
 namespace catkinloft {
 
-/// \brief What the head row and a history row say about one accepted revision.
+/// \brief Content of the head row and of a history row: one accepted revision.
 struct ConfigRecord
 {
     ConfigDigest digest;
@@ -20,22 +20,22 @@
     std::uint64_t acceptedAt = 0; ///< Wall clock in milliseconds.
 };
 
-/// \brief Names and formats of the rows in the table service.
+/// \brief Keys and formats of the configuration rows in the table service.
 namespace config_rows {
 
 inline constexpr const char *Head = "config/head";
 inline constexpr const char *HistoryPrefix = "config/history/";
 
-/// \returns the history row of \a revision; newer ones sort first.
+/// \returns the key of the history row of \a revision; newer revisions sort first.
 std::string historyKey(std::uint64_t revision);
 
-/// \returns the row that remembers the result of \a changeId.
+/// \returns the key of the row that stores the result of \a changeId.
 std::string changeKey(std::string_view changeId);
 
 std::string encode(const ConfigRecord &record);
 std::optional<ConfigRecord> decode(const std::string &text);
 
-/// \returns the row named \a key in \a rows, nullptr where it does not exist.
+/// \returns the row with \a key in \a rows; nullptr if it does not exist.
 const TableRow *find(const std::vector<TableRow> &rows, std::string_view key);
 
 } // namespace config_rows
--- a/src/Control/ConfigSpread.cpp
+++ b/src/Control/ConfigSpread.cpp
@@ -6,24 +6,26 @@
 
 namespace {
 
-/// Changes remembered, four minutes' worth at 25,000 a day: a router that was cut off for longer
-/// reads the whole text once.
+/// Number of changes stored: about four minutes at 25,000 a day. A router that was partitioned for
+/// longer receives the whole text once.
 constexpr std::size_t MaxSteps = 64;
 
-/// Text of a delta in one datagram; the rest of the 1,200 bytes is for names, digests, the MAC and
-/// JSON's escapes.
+/// Largest delta text in one datagram. The rest of the 1,200 bytes is needed for names, digests,
+/// the MAC and JSON escapes.
 constexpr std::size_t MaxDatagramDelta = 700;
 
-/// Cost of a hunk apart from its text.
+/// Encoded size of a hunk without its text.
 constexpr std::size_t HunkBytes = 24;
 
-/// How long an answer may take before another peer is asked. At a loss of a fifth one try in three
-/// fails, so that a dozen quick ones within the 4 s that a change may take all but never do; with
-/// a pause that doubled from the start, one change in seven took longer on some of nine routers.
+/// Timeout of a request; after it another attempt is made. At a packet loss of one fifth one
+/// attempt in three fails, so it is very unlikely that all twelve quick attempts within the 4 s
+/// that a change may take fail. With a timeout that doubled from the start, one change in seven
+/// took longer than 4 s on at least one of nine routers.
 constexpr Duration AnswerTimeout = std::chrono::milliseconds(250);
 constexpr int QuickTries = 12;
 
-/// After those the pause doubles, so that a revision that nobody can give costs little.
+/// After the quick attempts the timeout doubles this many times, so that requests for a revision
+/// that no peer can provide cost little.
 constexpr int MaxDoublings = 5;
 
 Duration pauseAfter(int tries)
@@ -164,7 +166,7 @@
 {
     const TimePoint now = m_options.clock.now();
     if (m_wanted > m_options.config.digest().revision && now >= m_askAgain) {
-        // Every second time another peer: the one that told may be gone.
+        // Every second attempt goes to a random peer: the one that announced it may be gone.
         const std::string other =
                 m_asked % 2 == 0 ? std::string() : m_options.membership.randomAddress();
         request(other.empty() ? m_wantedFrom : other);
--- a/src/Control/ConfigSpread.h
+++ b/src/Control/ConfigSpread.h
@@ -14,12 +14,12 @@
 
 namespace catkinloft {
 
-/// \brief Brings a higher revision from router to router: digests ride on every message, and a
-/// router that hears of a higher one asks the sender for what changed.
+/// \brief Propagates higher revisions from router to router: every message carries the sender's
+/// digest, and a router that receives a higher one requests the delta from the sender.
 ///
-/// Load: 25,000 changes a day at 890 routers. If each read each body from the object store, that
-/// were 257 reads a second of over a megabyte; a delta of a few hundred bytes from a peer costs
-/// about 1 KB a change and router.
+/// Handles 25,000 changes a day at 890 routers. If each router read each body from the object
+/// store, that would be 257 reads a second of more than a megabyte; a delta of a few hundred bytes
+/// from a peer costs about 1 KB per change and router.
 class ConfigSpread
 {
 public:
@@ -29,36 +29,37 @@
         ConfigKeeper &config;
         Membership &membership;
         std::function<void(const std::string &address, PeerMessage)> send;
-        /// Asks a peer over TCP for what a datagram can not hold.
+        /// Requests a delta that exceeds a datagram from a peer over TCP.
         std::function<void(const std::string &address, const ConfigDigest &base)> fetchLarge = {};
     };
 
     explicit ConfigSpread(Options options);
 
-    /// \brief Handles a message that Membership::receive() was given too.
+    /// \brief Handles a message that was also passed to Membership::receive().
     void receive(const std::string &address, const PeerMessage &message);
 
-    /// \brief Lets time pass: asks again where an answer did not come.
+    /// \brief Repeats a request whose answer has timed out, and ends waits that are due.
     void poll();
 
-    /// \returns when poll() has to run next; TimePoint::max() while nothing is missing.
+    /// \returns when poll() must be called next; TimePoint::max() while nothing is due.
     TimePoint nextDeadline() const;
 
-    /// \returns the change that followed \a base; the whole text in force where that is not
-    /// remembered. A router that is several changes behind asks as many times.
+    /// \returns the change that followed \a base, or the whole active text if that change is no
+    /// longer stored. A router that is several changes behind sends one request per change.
     PeerMessage deltaSince(const ConfigDigest &base) const;
 
-    /// \brief Takes over what deltaSince() of a peer gave.
+    /// \brief Applies a message that deltaSince() of a peer returned.
     void applyDelta(const PeerMessage &message);
 
-    /// \returns how many other routers were heard to hold \a revision or a higher one.
+    /// \returns how many other routers have reported \a revision or a higher one.
     std::size_t holders(std::uint64_t revision) const;
 
-    /// \returns the revision that router \a name was last heard to hold; 0 where none was heard.
+    /// \returns the highest revision that router \a name has reported; 0 if it has not reported
+    /// any.
     std::uint64_t revisionOf(std::string_view name) const;
 
-    /// \brief Calls \a done with the number of other routers that hold \a revision once \a wanted
-    /// do, or at \a deadline.
+    /// \brief Calls \a done with the number of other routers that have \a revision, as soon as
+    /// \a wanted of them have it or at \a deadline.
     void awaitHolders(std::uint64_t revision, std::size_t wanted, TimePoint deadline,
                       std::function<void(std::size_t)> done);
 
@@ -84,13 +85,13 @@
 
     Options m_options;
     std::deque<Step> m_steps; ///< The last changes, oldest first.
-    TextDelta
-            m_arriving; ///< The delta that the next text is made of, so that it is not made twice.
+    /// The delta that the next text is built from, so that it is not computed a second time.
+    TextDelta m_arriving;
     bool m_hasArriving = false;
     ConfigDigest m_before;
-    std::uint64_t m_wanted = 0; ///< Highest revision heard of.
+    std::uint64_t m_wanted = 0; ///< Highest revision that any peer has reported.
     std::string m_wantedFrom;
-    int m_asked = 0; ///< Requests since the last one that was answered.
+    int m_asked = 0; ///< Requests since the last answer.
     TimePoint m_askAgain = TimePoint::min();
     std::map<std::string, std::uint64_t, std::less<>> m_holders;
     std::vector<Waiter> m_waiters;
--- a/src/Control/ConfigTexts.cpp
+++ b/src/Control/ConfigTexts.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Texts that are kept: changes may come faster than routers ask.
+/// Number of texts cached: changes may arrive faster than routers request them.
 constexpr std::size_t MaxTexts = 16;
 
-/// Bytes of all texts that are kept besides the newest. The weakest VMs have 160 MB.
+/// Total bytes of the cached texts besides the newest. The smallest VMs have 160 MB of memory.
 constexpr std::size_t MaxKeptBytes = 2 * 1024 * 1024;
 
-/// The text is JSON without line feeds; this ends an object in it.
+/// The text is JSON without line feeds, so it is split at the end of each object.
 constexpr char Separator = '}';
 
 std::string encodeDelta(const TextDelta &delta)
--- a/src/Control/ConfigTexts.h
+++ b/src/Control/ConfigTexts.h
@@ -11,22 +11,23 @@
 
 namespace catkinloft {
 
-/// \brief The newest texts of the configuration, packed for routers that ask: whole, or as a change
-/// of one that the asker has.
+/// \brief Caches the newest configuration texts, compressed for routers that request them: whole,
+/// or as a delta of a text that the requesting router has.
 ///
-/// Load: an operator that changes one route of a thousand again and again, before hundreds of
-/// routers that all ask the same one. Harm prevented: the whole text, packed, is 125 KB for each of
-/// them and each change, more than what their callers send.
+/// Handles an operator who repeatedly changes one route of a thousand while hundreds of routers
+/// request the text from the same router. Prevents sending the whole text, which is 125 KB
+/// compressed, to each of them for each change; that is more than what their callers send.
 class ConfigTexts
 {
 public:
-    /// \brief Notes that \a text is that of \a revision, which is the newest.
+    /// \brief Adds \a text of \a revision; ignored unless it is the newest revision.
     void add(std::uint64_t revision, const std::string &text);
 
-    /// \brief Fills in PeerState::config and configBase for a router that has revision \a known.
+    /// \brief Sets PeerState::config and PeerState::configBase for a router that has revision
+    /// \a known.
     void describe(std::uint64_t known, PeerState &out);
 
-    /// \returns the text that \a state brings to a router whose own is \a known.
+    /// \returns the text that \a state contains, as whole or as a delta of \a known.
     static Result<std::string> textIn(const PeerState &state, std::string_view known);
 
 private:
@@ -39,7 +40,7 @@
     void forgetOld();
 
     std::deque<Entry> m_entries; ///< The newest last.
-    std::map<std::uint64_t, PeerState::Packed> m_packed; ///< By the revision that the asker has.
+    std::map<std::uint64_t, PeerState::Packed> m_packed; ///< By base revision; 0: the whole text.
 };
 
 } // namespace catkinloft
--- a/src/Control/EngineDigest.cpp
+++ b/src/Control/EngineDigest.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t HeadBytes = 4;
 constexpr std::size_t EntryBytes = 6;
 
-/// Loads are sent as a logarithm in steps of 1/16, from 1/16 request up to some 4,000.
+/// Loads are encoded logarithmically with 16 steps per doubling, from 1/16 request up to about
+/// 4,000.
 constexpr double StepsPerDoubling = 16;
 constexpr double SmallestLoad = 1.0 / 16;
 
@@ -123,7 +124,7 @@
     std::optional<EngineHint> out;
     for (const auto &it : m_byRouter) {
         const Duration age = m_clock.now() - it.second.at;
-        // Two routers may believe that they own an engine; the younger word counts.
+        // While membership lists differ, two routers may own an engine; the newer digest wins.
         if (age > m_maxAge || (out && out->age <= age))
             continue;
         for (const EngineDigest::Entry &entry : it.second.digest.entries) {
--- a/src/Control/EngineDigest.h
+++ b/src/Control/EngineDigest.h
@@ -12,21 +12,20 @@
 
 namespace catkinloft {
 
-/// \brief What a router tells the others of the engines that it owns: their mean load, and only
-/// those engines that stand out.
+/// \brief Summary of the engines that a router owns, announced to the other routers: the mean load
+/// and only those engines that are unreachable or have a much higher load.
 ///
-/// Load: 10,000 engines of which every router would have to know every load, 60 KB a round, where a
-/// node may send 3 KB/s.
-/// Harm prevented: chats that go to a hot or dead engine's router just to be sent on by it.
-/// Reason for the limit: 16 entries of 6 bytes and a head of 4 are 134 characters, whatever the
-/// size of the fleet; a router of 11 engines never needs more, one of a small fleet names its
-/// hottest.
+/// Handles 10,000 engines: reporting each load to every router would take 60 KB per round, while a
+/// node may send 3 KB/s. Prevents chats from being routed to the router of an overloaded or dead
+/// engine that can only forward them. The limit is 16 entries because, at 6 bytes each and a header
+/// of 4 bytes, the digest then takes at most 134 characters whatever the size of the fleet. A
+/// router that owns 11 engines never needs more; in a small fleet it reports the most loaded ones.
 struct EngineDigest
 {
     struct Entry
     {
-        std::uint32_t engine = 0; ///< Low half of the name's hash.
-        double load = 0; ///< Rounded to 1/16 of itself.
+        std::uint32_t engine = 0; ///< Low 32 bits of the hash of the engine's name.
+        double load = 0; ///< Rounded to 16 steps per doubling.
         bool reachable = true;
     };
 
@@ -35,32 +34,33 @@
     double meanLoad = 0;
     std::vector<Entry> entries; ///< Unreachable ones first, then the highest loads.
 
-    /// \returns the digest of \a engines, of those that have a hint.
-    /// \param factor an engine stands out whose load exceeds this multiple of the mean.
+    /// \returns the digest of those of \a engines for which \a knowledge has a hint.
+    /// \param factor an engine is listed if its load exceeds this multiple of the mean.
     static EngineDigest of(const EngineKnowledge &knowledge, std::span<const std::string> engines,
                            double factor);
 
     /// \returns URL-safe text of at most 134 characters.
     std::string encode() const;
 
-    /// \returns nothing where \a text is no digest.
+    /// \returns nothing if \a text is not a valid digest.
     static std::optional<EngineDigest> decode(std::string_view text);
 };
 
-/// \brief What the digests of other routers say, with its age.
+/// \brief The digests received from other routers, and their ages.
 class EngineDigestBoard
 {
 public:
-    /// \param maxAge entries older than this are forgotten: no news is good news.
+    /// \param maxAge digests older than this are dropped; an engine that is not listed is assumed
+    /// to be in normal state.
     explicit EngineDigestBoard(const Clock &clock, Duration maxAge = std::chrono::seconds(15));
 
-    /// \brief Takes over what router \a from says now; its earlier digest is gone.
+    /// \brief Replaces the digest of router \a from.
     void absorb(std::string_view from, const EngineDigest &digest);
 
-    /// \returns what is said of \a engine, nothing where it does not stand out.
+    /// \returns the most recent hint for \a engine; nothing if no digest lists it.
     std::optional<EngineHint> hint(std::string_view engine) const;
 
-    /// \returns routers that it holds a digest of.
+    /// \returns the number of routers whose digest is stored.
     std::size_t size() const { return m_byRouter.size(); }
 
 private:
--- a/src/Control/EngineKnowledge.cpp
+++ b/src/Control/EngineKnowledge.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// What the engine's clock says is believed up to this age. Beyond it the clock is wrong, or the
-/// report is useless anyway.
+/// Age, by the engine's clock, up to which reports are taken as they are. Beyond it the clock is
+/// wrong or the report is useless.
 constexpr Duration MaxReportAge = std::chrono::seconds(60);
 
-/// A chat remembered from before a gap may have been evicted in it.
+/// Share of the tokens that counts for a chat that may have been evicted in a gap of the events.
 constexpr double UncertainShare = 0.5;
 
 } // namespace
@@ -53,12 +53,13 @@
     Known *known = find(engine);
     if (!known)
         return;
-    // The engine's clock may be wrong either way: a report from the future is as old as its way.
+    // The engine's clock may be wrong in either direction: the age of a report from the future is
+    // taken as zero.
     const Duration said = m_options.clock.wallNow() - load.asOf;
     const TimePoint reportedAt =
             m_options.clock.now() - std::clamp(said, Duration::zero(), MaxReportAge);
     if (known->reported && known->hint.reachable && reportedAt < known->reportedAt)
-        return; // Crossed with a younger one.
+        return; // Overtaken by a more recent report.
     known->reportedAt = reportedAt;
     known->reported = true;
     known->hint = {.load = load.running + load.waiting, .tokens = load.tokens};
@@ -110,7 +111,7 @@
 void EngineKnowledge::fold(Known &known, const CacheEvent &event)
 {
     if (event.seq <= known.lastSeq)
-        return; // Told twice.
+        return; // Duplicate.
     if (known.lastSeq != 0 && event.seq > known.lastSeq + 1) {
         ++m_gaps;
         for (Chat &it : known.chats)
--- a/src/Control/EngineKnowledge.h
+++ b/src/Control/EngineKnowledge.h
@@ -16,13 +16,13 @@
 
 namespace catkinloft {
 
-/// \brief An engine's own report of its load; late by its nature.
+/// \brief Load reported by an engine; always delayed.
 struct EngineLoad
 {
     double running = 0; ///< Requests in the batch.
-    double waiting = 0; ///< Requests behind it.
-    double tokens = 0; ///< Of the requests in the batch.
-    WallTime asOf = {}; ///< By the engine's clock.
+    double waiting = 0; ///< Requests queued for the batch.
+    double tokens = 0; ///< Tokens of the requests in the batch.
+    WallTime asOf = {}; ///< Time of the report by the engine's clock.
 };
 
 /// \brief One entry of an engine's cache feed.
@@ -31,103 +31,104 @@
     std::uint64_t seq = 0;
     std::string chat;
     double tokens = 0;
-    bool stored = true; ///< Else evicted.
+    bool stored = true; ///< false: evicted.
 };
 
-/// \brief A part of an engine's cache feed.
+/// \brief Part of an engine's cache feed.
 struct CacheFeed
 {
     std::vector<CacheEvent> events;
-    std::uint64_t next = 0; ///< Where the next part begins; lower than before: it was restarted.
+    std::uint64_t next = 0; ///< Cursor of the next part; a lower one than before means a restart.
 };
 
-/// \brief What is believed of an engine; may be late, missing or wrong.
+/// \brief Estimate of an engine's state; may be outdated, missing or wrong.
 struct EngineHint
 {
     double load = 0; ///< Requests running and waiting.
     double tokens = 0;
-    Duration age{}; ///< Since the report was made, as far as known.
-    bool reachable = true; ///< Whether the last reading succeeded.
+    Duration age{}; ///< Estimated time since the report was made.
+    bool reachable = true; ///< Whether the last read succeeded.
 };
 
-/// \brief A chat whose context an engine is believed to hold.
+/// \brief A chat whose context an engine presumably caches.
 struct CachedChat
 {
     std::string chat;
-    std::uint64_t chatKey = 0; ///< 0: not known here, as nothing of the chat passed this router.
+    std::uint64_t chatKey = 0; ///< 0: unknown because no request of the chat passed this router.
     double tokens = 0;
 };
 
-/// \brief Folds late loads and gappy cache events of the engines that this router owns, and the
-/// digests of the others, into hints with an age. Nothing here is truth: a hint only changes which
-/// engine is tried first.
+/// \brief Derives hints with an age from the delayed load reports and incomplete cache events of
+/// the engines that this router owns. Hints are not authoritative: they only change which engine is
+/// tried first.
 ///
-/// Load: 11 engines a router at 10,000 before 890, each with some hundred chats in its cache.
-/// Harm prevented: a router that trusts an old report and sends everything to an engine that was
-/// idle a while ago; memory that grows with the chats ever seen.
+/// Handles 11 engines per router (10,000 engines and 890 routers), each with hundreds of cached
+/// chats. Prevents a router from trusting an old report and sending all requests to an engine that
+/// is no longer idle, and memory use that grows with the number of chats ever seen.
 class EngineKnowledge
 {
 public:
     struct Options
     {
         const Clock &clock;
-        /// Older hints are not given out: a batch turns over within it.
+        /// Older hints are not returned: within this time a batch is replaced by other requests.
         Duration maxAge = std::chrono::seconds(15);
-        /// Chats remembered for one engine, some hundred bytes each: at 11 engines a router 6 MB
+        /// Chats stored per engine, at about a hundred bytes each: with 11 engines per router 6 MB
         /// of the 256 MB.
         std::size_t chatsPerEngine = 4096;
     };
 
     explicit EngineKnowledge(Options options);
 
-    /// \brief Takes over which engines this router reads; what is known of the others goes.
+    /// \brief Sets the engines that this router reads; drops the state of all others.
     void setOwned(std::span<const std::string> engines);
 
-    /// \param wallNow the local calendar time at which \a load came.
+    /// \brief Updates the hint of \a engine, unless a more recent report is stored.
     void noteLoad(std::string_view engine, const EngineLoad &load);
     void noteUnreachable(std::string_view engine);
 
-    /// \brief Folds events in. A gap in their numbers says that evictions may be missing: what is
-    /// remembered from before it counts half from then on. A restarted engine holds nothing.
+    /// \brief Applies cache events. A gap in their sequence numbers means that evictions may be
+    /// missing, so chats stored before the gap count half from then on. A restart of the engine
+    /// clears its chats.
     void noteEvents(std::string_view engine, const CacheFeed &feed);
 
-    /// \brief Notes a request that the engine answered, which tells more than its events.
+    /// \brief Records a request that the engine answered; more reliable than its events.
     void noteServed(std::string_view engine, std::string_view chat, std::uint64_t chatKey,
                     double tokens);
 
-    /// \returns where the engine's next events begin.
+    /// \returns the cursor from which to read the engine's next events.
     std::uint64_t cursor(std::string_view engine) const;
 
-    /// \returns nothing where all that is known is too old.
+    /// \returns nothing if there is no report or the last one is older than Options::maxAge.
     std::optional<EngineHint> hint(std::string_view engine) const;
 
-    /// \returns tokens of the chat that the engine is believed to hold.
+    /// \returns the estimated number of tokens of \a chat that the engine caches.
     double cachedTokens(std::string_view engine, std::string_view chat) const;
 
-    /// \returns the chats of \a engine, the most tokens first.
+    /// \returns the cached chats of \a engine, sorted by descending number of tokens.
     std::vector<CachedChat> chatsOf(std::string_view engine) const;
 
     std::size_t owned() const { return m_owned.size(); }
     std::uint64_t gaps() const { return m_gaps; }
 
-    /// \brief Runs for each engine whose hint changed.
+    /// \brief Called whenever the hint of an engine was updated.
     std::function<void(std::string_view engine, const EngineHint &)> onHint = {};
 
 private:
     struct Chat
     {
         CachedChat cached;
-        bool uncertain = false; ///< From before a gap.
+        bool uncertain = false; ///< Stored before a gap in the events.
     };
     using ChatList = std::list<Chat>; ///< Most recently used first.
 
     struct Known
     {
         EngineHint hint;
-        TimePoint reportedAt; ///< By this clock; the report's own age taken off.
+        TimePoint reportedAt; ///< By the local clock, minus the age of the report on arrival.
         bool reported = false;
-        std::uint64_t cursor = 0; ///< Of the feed.
-        std::uint64_t lastSeq = 0; ///< Of the events; 0: none yet.
+        std::uint64_t cursor = 0; ///< Cursor in the feed.
+        std::uint64_t lastSeq = 0; ///< Sequence number of the last event; 0: none yet.
         ChatList chats;
         std::unordered_map<std::string, ChatList::iterator> byChat;
     };
--- a/src/Control/EngineKvMover.cpp
+++ b/src/Control/EngineKvMover.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// After so many failures in a row the engine is taken for gone.
+/// Consecutive failures after which the engine is considered gone.
 constexpr int MaxFailures = 3;
 
 constexpr const char *CopiesTotal = "catkinloft_kv_copies_total";
@@ -66,7 +66,7 @@
 {
     Leave leave;
     for (CachedChat &it : m_options.knowledge.chatsOf(engine.name)) {
-        if (it.chatKey != 0) // Else its order isn't known here.
+        if (it.chatKey != 0) // Without the key its rendezvous order is unknown.
             leave.chats.push_back(std::move(it));
     }
     Log::info("kv_move_started", {{"engine", engine.name}, {"chats", leave.chats.size()}});
--- a/src/Control/EngineKvMover.h
+++ b/src/Control/EngineKvMover.h
@@ -13,14 +13,13 @@
 
 namespace catkinloft {
 
-/// \brief Copies the KV caches of an engine's chats to the next engine in each chat's own order,
-/// once the inventory says that the engine is leaving.
+/// \brief Copies the KV caches of an engine's chats to the first remaining engine in each chat's
+/// rendezvous order when the inventory marks the engine as leaving.
 ///
-/// Load: a planned leave of one engine, or of a rack of them, with some hundred chats each.
-/// Harm prevented: chats that return after the leave and wait while their finding aid is read
-/// again.
-/// A copy needs no lease: the engine that gets it may hold it twice or not use it, and answers are
-/// the same either way.
+/// Handles the planned shutdown of one engine or of a rack, with hundreds of chats each. Prevents
+/// chats that continue after the shutdown from waiting until their prompt has been processed again.
+/// A copy needs no lease: if the target engine receives a cache twice or does not use it, its
+/// answers are the same.
 class EngineKvMover
 {
 public:
@@ -29,25 +28,24 @@
         EnginePort &engines;
         EngineKnowledge &knowledge;
         Metrics &metrics;
-        /// Copies at a time from one engine: it still serves its last requests meanwhile.
+        /// Concurrent copies per engine, limited because it still serves its last requests.
         int parallel = 2;
     };
 
     explicit EngineKvMover(Options options);
 
-    /// \brief Takes over the inventory; starts on engines that are leaving in it and were not
-    /// before.
+    /// \brief Sets the inventory and begins to copy from engines that are newly marked as leaving.
     void setInventory(InventoryPtr inventory);
 
-    /// \returns chats still to be copied.
+    /// \returns the number of chats whose copy has not begun yet.
     std::size_t waiting() const;
 
 private:
     struct Leave
     {
-        std::deque<CachedChat> chats; ///< The most tokens first.
+        std::deque<CachedChat> chats; ///< Sorted by descending number of tokens.
         int running = 0;
-        int failures = 0; ///< In a row.
+        int failures = 0; ///< Consecutive failures.
     };
 
     void start(const Engine &engine);
--- a/src/Control/EngineOwners.cpp
+++ b/src/Control/EngineOwners.cpp
@@ -12,7 +12,7 @@
 EngineOwners::Owner EngineOwners::scoreOf(std::uint64_t id, std::uint64_t router) const
 {
     ++m_scored;
-    // With equal weights rendezvousScore() rises with these bits, so its logarithm can be spared.
+    // With equal weights rendezvousScore() is monotonic in these bits, so its logarithm is omitted.
     return {.router = router, .score = hashCombine(id, router) >> 11};
 }
 
--- a/src/Control/EngineOwners.h
+++ b/src/Control/EngineOwners.h
@@ -10,38 +10,37 @@
 
 namespace catkinloft {
 
-/// \brief Which router owns which engine: the first of the engine's rendezvous order among the
-/// routers that are not leaving. Nobody agrees on it; while lists disagree an engine may have two
-/// owners, who both read it and tell hints, which is safe.
+/// \brief Determines which router owns which engine: the first in the engine's rendezvous order
+/// among the routers that are not leaving. There is no consensus about it. While the routers' lists
+/// differ, an engine may have two owners that both read it and announce hints, which is safe.
 ///
-/// Load: 10,000 engines and 890 routers, of which one comes or goes every 30 s on an ordinary day.
-/// Harm prevented: 8.9 million scores with every such change, which would stall the loop; only the
-/// engines that the change touches are scored again.
+/// Handles 10,000 engines and 890 routers, one of which joins or leaves every 30 s. Prevents the
+/// computation of 8.9 million scores for each such change, which would block the event loop: only
+/// the affected engines are scored again.
 class EngineOwners
 {
 public:
-    /// \param self name of this router.
+    /// \param self the name of this router.
     explicit EngineOwners(std::string self);
 
     void setEngines(std::span<const std::string> engines);
 
-    /// \returns whether there are others than before; lists are set far more often than they
-    /// change.
+    /// \returns whether the set of routers changed; lists are set far more often than they change.
     bool setRouters(std::span<const RouterView> routers);
 
-    /// \returns names of the engines that this router owns.
+    /// \returns the names of the engines that this router owns.
     const std::vector<std::string> &owned() const { return m_owned; }
 
-    /// \returns whether this router comes first for \a key, by the same order.
+    /// \returns whether this router is the first in the rendezvous order of \a key.
     bool isFirst(std::uint64_t key) const;
 
-    /// \returns scores worked out so far, as a measure of the work.
+    /// \returns the number of scores computed so far, as a measure of the work done.
     std::uint64_t scored() const { return m_scored; }
 
 private:
     struct Owner
     {
-        std::uint64_t router = 0; ///< Hash of its name; 0: none.
+        std::uint64_t router = 0; ///< Hash of the router's name; 0: none.
         std::uint64_t score = 0;
     };
     struct Owned
--- a/src/Control/EnginePoller.h
+++ b/src/Control/EnginePoller.h
@@ -11,14 +11,14 @@
 
 namespace catkinloft {
 
-/// \brief Reads load and cache events of the engines that this router owns, one engine after the
-/// other.
+/// \brief Polls load and cache events of the engines that this router owns, one engine at a time.
 ///
-/// Load: 11 engines a router at full size, one or two at the size of today.
-/// Harm prevented: readings that grow with the engines and eat the budget for control traffic.
-/// Reason for the limit: reading one engine is two calls of about 450 bytes with headers, so one
-/// engine a second is 900 of the 3,000 bytes; each of 11 is read every 11 s, which the hints' ages
-/// say, and a small fleet's every second or two.
+/// Handles 11 engines per router in the largest fleet and one or two in a small one. Prevents
+/// polling traffic from growing with the number of engines and using up the budget for control
+/// traffic. The limit is one engine per second because a poll consists of two calls of about 450
+/// bytes with headers, which is 900 of the 3,000 bytes per second. Each of 11 engines is then
+/// polled every 11 s, which the age of its hint shows, and those of a small fleet every second or
+/// two.
 class EnginePoller
 {
 public:
@@ -34,7 +34,7 @@
         EnginePort &engines;
         EngineKnowledge &knowledge;
         double enginesPerSecond = 1;
-        /// Whether there is room for control traffic that can wait.
+        /// Whether the budget has room for deferrable control traffic.
         std::function<bool()> mayDefer = [] { return true; };
     };
 
@@ -43,7 +43,7 @@
     void setEngines(std::vector<Engine> engines);
     void poll();
 
-    /// \returns when poll() has to run next.
+    /// \returns when poll() must be called next.
     TimePoint nextDeadline() const;
 
 private:
--- a/src/Control/EvacuatedDomains.h
+++ b/src/Control/EvacuatedDomains.h
@@ -11,32 +11,32 @@
 
 namespace catkinloft {
 
-/// \brief Failure domains whose replicas the operator wants left alone, as of the newest version of
-/// the store that this process has heard of.
+/// \brief Failure domains whose replicas get no requests because the operator evacuated them, as of
+/// the newest store version that this process has received.
 ///
-/// What was known once is never undone by an older read or by a router that is behind. Reads are
-/// linearizable, so that of two states the one with the higher version of the store is the newer.
+/// An older read or a router with an older state never reverts a newer state. Reads are
+/// linearizable, so of two states the one with the higher store version is the newer one.
 class EvacuatedDomains
 {
 public:
     struct State
     {
-        std::uint64_t storeVersion = 0; ///< 0: nothing was read yet.
+        std::uint64_t storeVersion = 0; ///< 0: not read yet.
         std::set<std::string> domains = {};
     };
 
-    /// \brief Takes over \a state, from a whole read of the store or from another router.
+    /// \brief Sets \a state, from a full read of the store or from another router, if it is newer.
     void accept(const State &state);
 
-    /// \brief Takes over \a changes that lie between a state known before and \a storeVersion.
+    /// \brief Applies \a changes that were made up to \a storeVersion, if that is newer.
     void change(std::span<const DomainEvacuation> changes, std::uint64_t storeVersion);
 
     const State &state() const { return m_state; }
 
-    /// \returns whether other routers have to be told: there is or was an evacuation.
+    /// \returns whether to announce the state to other routers: there is or was an evacuation.
     bool isWorthTelling() const { return m_isWorthTelling; }
 
-    /// \brief Emitted when a domain was evacuated or taken back.
+    /// \brief Emitted after a domain was evacuated or its evacuation was revoked.
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
--- a/src/Control/LeaseKeeper.cpp
+++ b/src/Control/LeaseKeeper.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Writes remembered as possibly open. Each further one expects the same version of the row, so at
-/// most one of them takes effect; older ones than this were decided long ago.
+/// Number of writes with an unknown outcome that are tracked. Each further one expects the same
+/// version of the row, so at most one of them takes effect; the outcome of older ones is certain.
 constexpr std::size_t MaxOpenAttempts = 16;
 
-/// Largest step that an engine may ask for. A lease that changes hands every minute takes two years
-/// for as many numbers.
+/// Largest increase that an engine may cause. A lease whose holder changes every minute needs two
+/// years for that many numbers.
 constexpr std::uint64_t MaxRaise = 1'000'000;
 
 using Milliseconds = std::chrono::milliseconds;
@@ -102,7 +102,7 @@
     if (m_busy || now < nextDeadline())
         return;
     if (!m_held || !m_attempts.empty())
-        look(); // Free, another's, or a write of ours whose answer was lost.
+        look(); // Free, held by another router, or the answer to our write was lost.
     else if (m_wanted)
         write(m_holder, std::max(m_row.fence, m_fenceFloor));
     else
@@ -111,8 +111,8 @@
 
 void LeaseKeeper::give()
 {
-    // From here on the row may become free at any time, also if the lease is wanted again; only a
-    // later write of ours, seen in the row, rules that out.
+    // From now on the row may become free at any time, even if the lease is wanted again. Only a
+    // later write of this router that is found in the row rules that out.
     m_held = false;
     m_giving = true;
     write({}, m_row.fence);
@@ -160,7 +160,7 @@
     if (m_wanted && isFree())
         write(m_holder, std::max(m_row.fence + 1, m_fenceFloor));
     else
-        m_attempts.clear(); // One that lands later only blocks the row for one duration.
+        m_attempts.clear(); // One that takes effect later only blocks the row for one duration.
 }
 
 bool LeaseKeeper::isFree() const
@@ -206,8 +206,8 @@
     if (!answer && isDecided)
         std::erase_if(m_attempts, [&](const Attempt &it) { return it.id == id; });
     scheduleAfter(jittered(m_options.takeInterval));
-    // The row as it stands is the only thing by which a write counts: the answer to a commit, a
-    // conflict and the truth after a lost answer take the same path.
+    // Whether a write succeeded is only determined from the content of the row: an answer to a
+    // commit, a conflict and a read after a lost answer are handled the same way.
     if (answer && !answer.value().current.empty())
         saw(answer.value().current.front());
 }
@@ -217,7 +217,7 @@
     const bool isNew = attempt.id != m_current.id;
     m_current = attempt;
     if (isNew) {
-        // They expect an older row, so none of them can take effect any more.
+        // The other writes expect an older version, so none of them can take effect any more.
         m_attempts.clear();
         m_giving = false;
     }
@@ -228,7 +228,7 @@
         Log::info("lease_taken", {{"lease", m_options.key}, {"fence", m_row.fence}});
     if (!m_wanted)
         give();
-    else if (!m_held) // Lapsed or being given back, but nobody took it: a new taking.
+    else if (!m_held) // Expired or being released, but not acquired by others: acquire it anew.
         write(m_holder, std::max(m_row.fence + 1, m_fenceFloor));
     else if (isNew && m_row.fence >= m_fenceFloor)
         scheduleAfter(m_options.renewInterval);
--- a/src/Control/LeaseKeeper.h
+++ b/src/Control/LeaseKeeper.h
@@ -14,28 +14,29 @@
 
 namespace catkinloft {
 
-/// \brief A lease as its row in the table service states it.
+/// \brief A lease as stored in its row of the table service.
 struct Lease
 {
-    std::string holder; ///< Name and incarnation; empty: given back.
-    std::uint64_t fence = 0; ///< Rises with every taking, never falls.
-    std::uint64_t attempt = 0; ///< Id of the write, by which a lost answer is settled.
-    Duration duration{}; ///< How long it holds after the write; counted by each side's own clock.
+    std::string holder; ///< Name and incarnation; empty: released.
+    std::uint64_t fence = 0; ///< Rises with every acquisition and never falls.
+    std::uint64_t attempt = 0; ///< Id of the write; identifies it if its answer was lost.
+    Duration duration{}; ///< Validity after the write, measured by each router's own clock.
 
     std::string encode() const;
 
-    /// \returns nothing where \a text is no lease, as a row that another program wrote.
+    /// \returns nothing if \a text is not a lease, as in a row written by another program.
     static std::optional<Lease> decode(std::string_view text);
 };
 
-/// \brief Holds, or tries to get, one lease: one row moved by compare-and-set.
+/// \brief Holds, or tries to acquire, one lease: a row that is changed by compare-and-set.
 ///
-/// Load: 256 order groups for 10,000 engines, each renewed every 15 s: 17 writes/s of the several
-/// hundred that the whole fleet has.
-/// Harm prevented: two routers that order the same engine about.
-/// The holder counts from before it sent its write and stops a margin early; a contender counts
-/// from after it saw that write. So neither calendar time nor synchronised clocks matter, only that
-/// monotonic clocks run at nearly the same rate.
+/// Handles 256 order groups for 10,000 engines, each renewed every 15 s: 17 writes/s of the several
+/// hundred that the whole fleet may do. Prevents two routers from sending orders to one engine at
+/// the same time.
+///
+/// The holder measures the duration from before it sent its write and stops a margin earlier; a
+/// contender measures it from after it read that write. Therefore neither calendar time nor
+/// synchronised clocks matter, only that monotonic clocks run at nearly the same rate.
 class LeaseKeeper
 {
 public:
@@ -44,39 +45,40 @@
         const Clock &clock;
         RandomSource random;
         TableService &table;
-        std::string key; ///< Row, as `lease/engines/7`.
+        std::string key; ///< Key of the row, such as `lease/engines/7`.
         std::string self; ///< Name of this router.
-        Duration duration = std::chrono::seconds(45); ///< Three lost renewals don't end it.
+        Duration duration = std::chrono::seconds(45); ///< The lease outlasts three lost renewals.
         Duration renewInterval = std::chrono::seconds(15);
-        /// Stops acting this long before the end: 4% of clock drift, far above any real clock's.
+        /// The holder stops this long before the expiry. This tolerates a clock drift of 4%, far
+        /// more than real clocks have.
         Duration margin = std::chrono::seconds(2);
-        /// Contenders look at the row this often, spread by half of it: when a store comes back,
-        /// they don't all write at once.
+        /// Interval at which contenders read the row, with a jitter of half of it, so that they do
+        /// not all write at once when the store becomes available again.
         Duration takeInterval = std::chrono::seconds(5);
     };
 
     explicit LeaseKeeper(Options options);
 
-    /// \brief Whether this router should hold the lease; one that should not gives it back.
+    /// \brief Sets whether this router should hold the lease. If not, a held lease is released.
     void setWanted(bool wanted);
 
-    /// \brief Does what is due. \sa nextDeadline()
+    /// \brief Performs the operations that are due. \sa nextDeadline()
     void poll();
 
-    /// \returns when poll() has to run next.
+    /// \returns when poll() must be called next.
     TimePoint nextDeadline() const;
 
-    /// \returns the fencing number while the lease is held by the clock as it is now. Ask right
-    /// before each act: a process may have been paused since the last answer.
+    /// \returns the fencing number if the lease is held at the current time. Call this right before
+    /// each action, as the process may have been paused since the last call.
     std::optional<std::uint64_t> fence() const;
 
-    /// \brief Reads the row right now and tells whether it still names this holder.
+    /// \brief Reads the row immediately and reports whether it still names this holder.
     void confirm(std::function<void(bool)> done);
 
-    /// \brief Raises the fencing number above \a floor, which an engine has seen; takes effect with
-    /// the next renewal, made at once.
-    /// \returns false where \a floor can't be true, so that a lying engine does not bring the
-    /// number to its end.
+    /// \brief Raises the fencing number above \a floor, the number that an engine reported. Takes
+    /// effect with the next renewal, which is made immediately.
+    /// \returns false if \a floor is implausibly high, so that an engine that reports wrong numbers
+    /// cannot exhaust their range.
     bool raiseFence(std::uint64_t floor);
 
 private:
@@ -99,19 +101,19 @@
     std::optional<Attempt> attemptById(std::uint64_t id) const;
 
     Options m_options;
-    std::string m_holder; ///< Name and incarnation, so that a restarted router is another one.
+    std::string m_holder; ///< Name and incarnation, so that a restarted router is another holder.
     bool m_wanted = false;
-    bool m_busy = false; ///< A read or write is under way.
-    std::uint64_t m_version = 0; ///< Of the row, as last seen.
-    Lease m_row; ///< As last seen.
-    TimePoint m_seenSince; ///< When the row was first seen at m_version.
+    bool m_busy = false; ///< A read or write is in progress.
+    std::uint64_t m_version = 0; ///< Version of the row as last read.
+    Lease m_row; ///< Content of the row as last read.
+    TimePoint m_seenSince; ///< When the row was first read with m_version.
     bool m_seen = false;
     bool m_held = false;
-    bool m_giving = false; ///< A giving back was sent, which may still take effect.
-    TimePoint m_until; ///< End of the lease by this clock, margin taken off.
+    bool m_giving = false; ///< A release was sent and may still take effect.
+    TimePoint m_until; ///< Expiry of the lease by the local clock, minus the margin.
     std::uint64_t m_fenceFloor = 0;
-    Attempt m_current; ///< The write that the row as last seen came from, if it is ours.
-    std::vector<Attempt> m_attempts; ///< Later writes whose outcome is open, newest last.
+    Attempt m_current; ///< The write that created the row as last read, if it was ours.
+    std::vector<Attempt> m_attempts; ///< Later writes whose outcome is unknown, newest last.
     TimePoint m_next;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/src/Control/OrderController.cpp
+++ b/src/Control/OrderController.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-/// An order is read back after this long; engines switch versions and roles well within it.
+/// Delay before the state is read again after an order; engines switch versions and roles in less.
 constexpr Duration ReadBackDelay = 1s;
 
-/// Longest time between two readings of an engine that fails: a dead one costs next to nothing and
-/// a mended one is found within a minute.
+/// Longest time between two reads of a failing engine: a dead engine costs very little and a
+/// recovered one is detected within a minute.
 constexpr Duration MaxBackOff = 60s;
 
-/// While a load waits for a slot of the weight store.
+/// Retry interval while a load waits for a slot of the weight store.
 constexpr Duration SlotDelay = 5s;
 
 bool wantsTheSame(const Engine &a, const Engine &b)
@@ -63,7 +63,7 @@
     std::map<std::string, Target> next;
     for (auto &it : m_groups)
         it.second.engines.clear();
-    // Of 10,000 engines a router orders some 11, so only those are copied with each revision.
+    // A router controls about 11 of 10,000 engines, so only those are copied with each revision.
     for (const Engine &it : m_inventory->engines) {
         if (m_wantedGroups[orderGroupOf(it.name)])
             addTarget(it, next);
@@ -88,8 +88,8 @@
     }
     it.engines.push_back(engine.name);
     Target &target = into[engine.name];
-    // Changes come every 3.5 s at full size: starting all readings anew with each would leave the
-    // engines at the end of the group unread.
+    // Changes arrive every 3.5 s in the largest fleet: restarting all reads with each change would
+    // leave the engines at the end of the group unread.
     const auto old = m_targets.find(engine.name);
     if (old != m_targets.end())
         target = std::move(old->second);
@@ -237,15 +237,16 @@
     LeaseKeeper &lease = leaseOf(target);
     const auto fence = lease.fence();
     if (!fence)
-        return; // Whoever holds it now reads for itself.
+        return; // The current holder reads the state itself.
     if (target.wanted.checksFencing && state.fence > *fence) {
-        // Its row is younger than what the engine saw, as after a rename: raised before any order.
+        // The engine received a higher number than that of the row, for example because it was
+        // renamed into another group. The number is raised before any order is sent.
         if (lease.raiseFence(state.fence))
             checkAgainIn(target, ReadBackDelay);
         else
             failed(target, "reading its state",
                    {.reason = Reason::UpstreamBroken,
-                    .detail = "it says that it saw a fencing number that can't be"});
+                    .detail = "the engine reports an implausibly high fencing number"});
         return;
     }
     auto step = nextOrderStep(target.wanted, state, target.loadedVersion);
@@ -282,7 +283,7 @@
 {
     m_loads.insert(name);
     m_weights.setWanted(true);
-    // One load at a time, for this router has one slot.
+    // One load at a time, because this router has one slot.
     if ((m_loading.empty() || m_loading == name) && m_weights.mayAsk()) {
         m_loading = name;
         return true;
@@ -321,7 +322,7 @@
         give(name, step);
         return;
     }
-    // The engine won't notice that the lease went to another, so the row is read right before.
+    // This engine does not detect orders of a former holder, so the row is read right before.
     target.busy = true;
     leaseOf(target).confirm([this, name, step, alive = std::weak_ptr(m_alive)](bool isHeld) {
         if (alive.expired())
@@ -338,11 +339,11 @@
 void OrderController::give(const std::string &name, const OrderStep &step)
 {
     Target &target = m_targets.at(name);
-    // Asked right here: this process may have been paused since the state was read.
+    // Checked here because the process may have been paused since the state was read.
     const auto fence = leaseOf(target).fence();
     if (!fence || step.revision != m_inventory->revision) {
         noLoad(name);
-        checkAgainIn(target, ReadBackDelay); // Worked out anew from what is wanted by then.
+        checkAgainIn(target, ReadBackDelay); // Computes the step from the newest inventory.
         return;
     }
     EngineOrder order = step.order;
@@ -375,7 +376,7 @@
                                         + Metrics::label("result", result));
     };
     if (!answer) {
-        count("unknown"); // The read-back tells.
+        count("unknown"); // The next read of the state shows the outcome.
         failed(target, "giving an order", answer.error());
     } else if (!answer.value().applied) {
         count("fenced");
--- a/src/Control/OrderController.h
+++ b/src/Control/OrderController.h
@@ -17,13 +17,13 @@
 
 namespace catkinloft {
 
-/// \brief Brings the engines to the state that the inventory wants: reads each one's state, gives
-/// the next order where it differs and reads back. Orders only while it holds the lease of the
-/// engine's group.
+/// \brief Reconciles the engines with the inventory: reads the state of each engine, sends the next
+/// order if it differs from the inventory and reads the state again. Orders are only sent while the
+/// lease of the engine's group is held.
 ///
-/// Load: 10,000 engines in 256 groups, a new version for thousands of them at once.
-/// Harm prevented: orders of a holder that was paused past its lease, a weight store asked beyond
-/// its limit, and readings that eat the node's budget for control traffic.
+/// Handles 10,000 engines in 256 groups and a new version for thousands of them at once. Prevents
+/// orders of a holder that was paused past the expiry of its lease, more requests to the weight
+/// store than it allows, and reads that use up the node's budget for control traffic.
 class OrderController
 {
 public:
@@ -35,33 +35,32 @@
         EnginePort &engines;
         Metrics &metrics;
         std::string self; ///< Name of this router.
-        /// Whether this router comes first for a key among the routers that it knows. A hint only:
-        /// where two believe it, the lease decides.
+        /// Whether this router is the first in the rendezvous order of a key among the routers that
+        /// it knows. Only a hint: if it is true for two routers, the lease decides.
         std::function<bool(std::uint64_t key)> isFirst;
-        /// Shortest time between two readings of one engine: drift is repaired within it.
+        /// Shortest time between two reads of an engine; drift is repaired in about this time.
         Duration checkInterval = std::chrono::seconds(10);
-        /// A reading is about 450 bytes with headers, so this is 15% of 3 KB/s. A group of 39
-        /// engines is gone through in 40 s.
+        /// A read takes about 450 bytes with headers, so this is 15% of 3 KB/s. A group of 39
+        /// engines is read in 40 s.
         double checksPerSecond = 1;
-        /// Whether there is room for control traffic that can wait.
+        /// Whether the budget has room for deferrable control traffic.
         std::function<bool()> mayDefer = [] { return true; };
     };
 
     explicit OrderController(Options options);
 
-    /// \brief Takes over what is wanted; engines of which something else is wanted than before
-    /// are read first.
+    /// \brief Sets the target state; engines whose target state changed are read first.
     void setInventory(InventoryPtr inventory);
 
-    /// \brief Asks isFirst() anew for each group.
+    /// \brief Evaluates Options::isFirst again for each group.
     void routersChanged();
 
     void poll();
 
-    /// \returns when poll() has to run next.
+    /// \returns when poll() must be called next.
     TimePoint nextDeadline() const;
 
-    /// \returns groups whose lease is held now.
+    /// \returns the number of groups whose lease is held now.
     std::size_t groupsHeld() const;
 
 private:
@@ -70,10 +69,10 @@
         Engine wanted;
         std::size_t group = 0;
         TimePoint nextCheck;
-        bool busy = false; ///< A call to it is under way.
-        int failures = 0; ///< In a row.
-        std::string loadedVersion; ///< That it was made to load, not to run, by this holder.
-        std::string lastCause; ///< Of the step that was withheld, so that it's logged once.
+        bool busy = false; ///< A call to the engine is in progress.
+        int failures = 0; ///< Consecutive failures.
+        std::string loadedVersion; ///< Version whose weights this holder made the engine load.
+        std::string lastCause; ///< Cause of the withheld order, so that it is logged once.
     };
 
     struct Group
@@ -101,8 +100,8 @@
     void noLoad(const std::string &name);
     void forgetLostLoads();
 
-    /// \returns \a then, called with the target if it is still there and this is too; whatever the
-    /// answer, the call to the engine is over.
+    /// \returns a callback that marks the target as no longer busy and calls \a then with it, if
+    /// the target and this object still exist.
     template<typename T>
     std::function<void(Result<T>)> receiver(const std::string &name,
                                             std::function<void(Target &, Result<T>)> then);
@@ -111,11 +110,11 @@
     InventoryPtr m_inventory;
     std::vector<bool> m_wantedGroups = std::vector<bool>(OrderGroups);
     std::map<std::size_t, Group> m_groups;
-    std::map<std::string, Target> m_targets; ///< Of the groups that are wanted here.
+    std::map<std::string, Target> m_targets; ///< Engines of the groups that this router wants.
     WeightBudget m_weights;
-    std::set<std::string> m_loads; ///< Engines that need the weight store.
-    std::string m_loading; ///< The one of them that uses this router's slot; empty: none.
-    TimePoint m_nextReading; ///< Not before this one, for the budget.
+    std::set<std::string> m_loads; ///< Engines that have to load from the weight store.
+    std::string m_loading; ///< The engine that uses this router's weight store slot; empty: none.
+    TimePoint m_nextReading; ///< No read before this time, to stay within the budget.
     std::uint64_t m_orders = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/src/Control/OrderPlan.cpp
+++ b/src/Control/OrderPlan.cpp
@@ -62,7 +62,8 @@
                   .cause = std::move(cause)};
     if (!wanted.checksFencing && getsRequests(wanted)) {
         out.withheld = true;
-        out.cause += "; it ignores fencing numbers, so mark it leaving or standby to change it";
+        out.cause +=
+                "; the engine ignores fencing numbers: mark it leaving or standby to change it";
     }
     return out;
 }
--- a/src/Control/ReplicaRegistry.cpp
+++ b/src/Control/ReplicaRegistry.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// How long it is remembered that a replica leaves which has no entry. Entries lapse while the
-/// store is away, and those that come back may be older than the word.
+/// How long a leaving replica without an entry is stored. Entries expire while the store is
+/// unavailable, and those that are restored may be older than the replica's answer.
 constexpr Duration DrainMemory = std::chrono::minutes(2);
 
-/// Lists that are remembered. A router asks for changes within a beat or two, in which a release
-/// changes the list a few times.
+/// Number of former lists stored. A router requests changes within one or two heartbeats; during a
+/// release the list changes a few times in that period.
 constexpr std::size_t MaxEarlier = 8;
 
 const ReplicaRecord *findRecord(const std::vector<ReplicaRecord> &list, const std::string &id)
@@ -26,7 +26,7 @@
     return it == list.end() ? nullptr : &*it;
 }
 
-/// Times that are read again differ by what the answer of the store took.
+/// Deadlines computed from different reads differ by the latency of the store.
 bool isColdAlike(TimePoint a, TimePoint b)
 {
     constexpr Duration Slack = std::chrono::milliseconds(200);
@@ -61,7 +61,7 @@
 void ReplicaRegistry::take(std::vector<ReplicaRecord> list, std::uint64_t storeVersion,
                            TimePoint readBegan)
 {
-    // Lists may come from the store and from other routers, and overtake each other.
+    // Lists are received from the store and from other routers and can overtake each other.
     if (storeVersion < m_storeVersion)
         return;
     noteOutage(readBegan);
@@ -94,7 +94,7 @@
             if (!removed.contains(it.id) && !findRecord(update.replicas, it.id))
                 next.push_back(it);
         }
-        // The store's order, in which all routers hash the list.
+        // The order of the store, in which all routers hash the list.
         std::sort(next.begin(), next.end(),
                   [](const ReplicaRecord &a, const ReplicaRecord &b) { return a.id < b.id; });
     }
@@ -162,7 +162,7 @@
 void ReplicaRegistry::noteLeaving(const std::string &incarnation, LeavingSource source)
 {
     Drained &it = m_drained[incarnation];
-    // Another router may still speak of the process before.
+    // The update of another router may refer to the former process.
     const bool isOld = it.isReplaced && source == LeavingSource::Router;
     if (isOld || (it.toldAt && !it.isReplaced))
         return;
@@ -215,7 +215,7 @@
     noteOutage(readBegan);
     m_storeVersion = std::max(m_storeVersion, storeVersion);
     m_readAt = std::max(m_readAt, readBegan);
-    update(); // The time for which missing ones are kept may be over.
+    update(); // The time for which missing replicas are retained may be over.
     return true;
 }
 
--- a/src/Control/ReplicaRegistry.h
+++ b/src/Control/ReplicaRegistry.h
@@ -15,66 +15,68 @@
 
 namespace catkinloft {
 
-/// \brief The replicas that may get requests, from snapshots of the store that may fail to come.
+/// \brief Holds the replicas that may get requests, from snapshots of a store that can be
+/// unavailable.
 ///
-/// Replicas register with a lease that runs out also while the store is away. So after an outage a
-/// missing one may only not have been able to renew: it stays for a short time. At any other time
-/// one that is missing is gone.
+/// Replicas register with a lease that also expires while the store is unavailable. A replica that
+/// is missing after an outage may only have failed to renew its lease, so it is retained for a
+/// short time. At any other time a missing replica is removed at once.
 class ReplicaRegistry
 {
 public:
     struct Options
     {
         const Clock &clock;
-        Duration outageAfter = std::chrono::seconds(3); ///< Without a snapshot: the store was away.
-        /// How long replicas that an outage has cost their lease have to register again.
+        Duration outageAfter = std::chrono::seconds(3); ///< Time without a read that is an outage.
+        /// Time for replicas to register again whose lease expired during an outage.
         Duration returnTime = std::chrono::milliseconds(2200);
     };
 
     explicit ReplicaRegistry(Options options) : m_options(options) { }
 
-    /// \brief Takes over \a snapshot, read by a call that began at \a readBegan.
+    /// \brief Applies \a snapshot, which was read by a call that started at \a readBegan.
     void apply(const ReplicaSnapshot &snapshot, TimePoint readBegan);
 
-    /// \brief Takes over \a update of a router that read the store at \a readBegan.
-    /// \returns false where it changes a list that this registry does not have.
+    /// \brief Applies \a update from a router that read the store at \a readBegan.
+    /// \returns false if it is based on a list that this registry does not have.
     bool applyUpdate(const ReplicaUpdate &update, TimePoint readBegan);
 
-    /// \returns what a router lacks whose list has \a hash, as of when the store was read last.
+    /// \returns the changes since the list with \a hash, as of the last read of the store; the
+    /// whole list if that one is no longer stored.
     ReplicaUpdate updateSince(std::uint64_t hash) const;
 
-    /// \brief Notes that at \a readBegan the store held the replicas with hash() \a hash, when it
-    /// had version \a storeVersion. \returns false where this registry has others.
+    /// \brief Records that at \a readBegan the store had version \a storeVersion and the replicas
+    /// whose hash() is \a hash. \returns false if the list of this registry has another hash.
     bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readBegan);
 
-    /// \brief Who has told that a replica leaves.
+    /// \brief Source of the information that a replica is leaving.
     enum class LeavingSource : std::uint8_t {
-        Answer, ///< The replica itself.
-        Router, ///< Another router that had such an answer, up to some seconds ago.
+        Answer, ///< An answer of the replica itself.
+        Router, ///< Another router that received such an answer within the last seconds.
     };
 
-    /// \brief Notes that the replica \a incarnation has said that it leaves. It stays draining,
-    /// whatever older entries say, until another process has its name.
+    /// \brief Marks the replica \a incarnation as leaving. It stays draining, whatever the state in
+    /// older entries, until another process registers under its id.
     void noteLeaving(const std::string &incarnation, LeavingSource source);
 
-    /// \brief The same for the process at \a address where it is not replica \a id.
+    /// \brief Marks the replicas at \a address, except \a id, as leaving.
     void noteLeavingAt(const std::string &address, const std::string &id);
 
-    /// \returns the replicas of which noteLeaving() was told in the last \a time, at most \a most.
+    /// \returns the replicas marked by noteLeaving() within the last \a time, at most \a most.
     std::vector<std::string> toldLeaving(Duration time, std::size_t most) const;
 
-    /// \returns a hash of the last snapshot, the same on all routers; 0 before the first.
+    /// \returns a hash of the last snapshot, identical on all routers; 0 before the first.
     std::uint64_t hash() const { return m_hash; }
 
     /// \returns the replicas of all services, draining ones included.
     const std::vector<ReplicaRecord> &replicas() const { return m_replicas; }
 
-    /// \returns how old the newest snapshot is; Duration::max() without one.
+    /// \returns the age of the newest snapshot; Duration::max() if there is none.
     Duration age() const;
 
     std::uint64_t storeVersion() const { return m_storeVersion; }
 
-    /// \brief Emitted when the list or the state of a replica changed.
+    /// \brief Emitted after the list or the state of a replica changed.
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
@@ -88,7 +90,7 @@
     void logChanges(const std::vector<ReplicaRecord> &next) const;
 
     Options m_options;
-    /// \brief A list that was known, so that routers that still have it are told the changes.
+    /// \brief A former list, stored so that routers that still have it only get the changes.
     struct Earlier
     {
         std::uint64_t hash = 0;
@@ -97,15 +99,15 @@
 
     std::vector<ReplicaRecord> m_registered; ///< As in the newest snapshot.
     std::deque<Earlier> m_earlier; ///< The newest last.
-    std::vector<ReplicaRecord> m_replicas; ///< With those that an outage may have cost their lease.
-    /// \brief A replica that has said that it leaves, for good.
+    std::vector<ReplicaRecord> m_replicas; ///< Including those retained after an outage.
+    /// \brief A replica that is leaving; this state is final.
     struct Drained
     {
-        std::string address = {}; ///< Of its entry; empty: none was seen.
-        std::int64_t sequence = 0; ///< Highest of its entry.
-        TimePoint seenAt = {}; ///< When it was told, or its entry was there last.
-        std::optional<TimePoint> toldAt = {}; ///< When noteLeaving() heard of it first.
-        bool isReplaced = false; ///< Another process has its name now.
+        std::string address = {}; ///< Address in its entry; empty: no entry was read.
+        std::int64_t sequence = 0; ///< Highest sequence in its entry.
+        TimePoint seenAt = {}; ///< When it was marked, or when its entry was last present.
+        std::optional<TimePoint> toldAt = {}; ///< When it was marked by noteLeaving() first.
+        bool isReplaced = false; ///< Another process is registered under its id now.
     };
 
     std::map<std::string, Drained> m_drained; ///< By incarnation.
--- a/src/Control/ReplicaUpdate.h
+++ b/src/Control/ReplicaUpdate.h
@@ -10,23 +10,23 @@
 
 namespace catkinloft {
 
-/// \brief The list of replicas as one router tells it to another: the whole, or what has changed
-/// since a list that the other one has.
+/// \brief The list of replicas as announced from router to router: the whole list, or the changes
+/// since a list that the receiver has.
 ///
-/// Load: a release that replaces a replica a second, before hundreds of routers. Harm prevented:
-/// the whole list for each change is tens of kilobytes for each router, from the one that reads
-/// the store for all.
+/// Handles a release that replaces one replica per second with hundreds of routers. Prevents
+/// sending the whole list, tens of kilobytes, to each router for each change from the one router
+/// that reads the store for all.
 struct ReplicaUpdate
 {
-    std::uint64_t base = 0; ///< ReplicaRegistry::hash() of the list that changed; 0: it is whole.
-    std::uint64_t storeVersion = 0; ///< Of the store when it was read.
-    std::vector<std::string> removed = {}; ///< Ids that the base has and the new list lacks.
-    std::vector<ReplicaRecord> replicas = {}; ///< New or changed ones, or all.
+    std::uint64_t base = 0; ///< ReplicaRegistry::hash() of the base list; 0: the list is whole.
+    std::uint64_t storeVersion = 0; ///< Version of the store when it was read.
+    std::vector<std::string> removed = {}; ///< Ids in the base list that are not in the new one.
+    std::vector<ReplicaRecord> replicas = {}; ///< New or changed replicas, or all.
 
     /// \returns the update as JSON.
     std::string encode() const;
 
-    /// \returns what encode() made; MalformedRequest for anything else.
+    /// \returns the update encoded in \a text; an error with MalformedRequest if it is invalid.
     static Result<ReplicaUpdate> decode(std::string_view text);
 };
 
--- a/src/Control/TextDelta.cpp
+++ b/src/Control/TextDelta.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Lines looked ahead for the place where two texts agree again. The work is quadratic in it.
+/// Number of lines searched for the point where two texts agree again. The cost is quadratic in it.
 constexpr std::size_t LookAhead = 48;
 
 using Lines = std::vector<std::string_view>;
@@ -37,7 +37,7 @@
     std::size_t fresh = 0;
 };
 
-/// \returns how many lines of each text to pass over until they agree again.
+/// \returns how many lines of each text to skip until they agree again.
 Skip nextAgreement(const Lines &a, std::size_t i, const Lines &b, std::size_t j)
 {
     for (std::size_t sum = 1; sum <= LookAhead; ++sum) {
@@ -87,7 +87,8 @@
     std::size_t at = 0;
     for (const TextHunk &it : delta) {
         if (it.at < at || it.at > lines.size() || it.removed > lines.size() - it.at)
-            return Error{.reason = Reason::Internal, .detail = "the delta is for another text"};
+            return Error{.reason = Reason::Internal,
+                         .detail = "the delta was made for another text"};
         out += joined(lines, at, it.at) + it.inserted;
         at = it.at + it.removed;
     }
