--- a/test/ConfigInForceTest.cpp
+++ b/test/ConfigInForceTest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_olderRevisionRead_neverComesBack")
+TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_olderRevisionRead_isNotActivated")
 {
     int changes = 0;
     config.changed().connect([&](const RouteConfigPtr &) { ++changes; });
@@ -34,7 +34,7 @@
     CHECK(changes == 1);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_proof_isAsOldAsTheBeginningOfItsRead")
+TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_proof_isDatedByTheStartOfItsRead")
 {
     CHECK(config.proofAge() == Duration::max());
     const TimePoint began = clock.now();
@@ -47,7 +47,7 @@
     CHECK(config.proofAge() == 0s);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_confirmationOfAnotherRevision_provesNothing")
+TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_confirmationOfAnotherRevision_provesNothing")
 {
     config.accept(revision(7), clock.now());
     clock.advance(4s);
--- a/test/ConfigKeeperTest.cpp
+++ b/test/ConfigKeeperTest.cpp
@@ -54,7 +54,7 @@
         return finish(start(router, base, base + 1, changeId));
     }
 
-    /// Every router's own list of applied revisions, which may only rise.
+    /// Checks that the revisions activated by each router only rise.
     void checkNeverFell()
     {
         for (std::size_t i = 0; i < group.size(); ++i) {
@@ -68,7 +68,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_manyChangesAtTwentyPercentLoss_eachIsInForceWithinFourSeconds")
+                  "config_manyChangesAtTwentyPercentLoss_eachIsActiveWithinFourSeconds")
 {
     group.setLoss(0.2);
     for (std::uint64_t base = 1; base < 30; ++base) {
@@ -79,7 +79,7 @@
     CHECK(group.objects().gets() == 0);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_olderBodyFromPeer_isNotApplied")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_olderBodyFromPeer_isNotActivated")
 {
     const std::string old = group.node(4).config->text();
     REQUIRE(apply(0, 1));
@@ -92,14 +92,14 @@
     CHECK(group.node(4).config->text() != old);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_bodyThatIsNotItsDigests_isNotApplied")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_bodyWithWrongHash_isNotActivated")
 {
     const std::string text = inventoryText(12, 5);
     CHECK_FALSE(group.node(4).config->takeOver({.revision = 9, .hash = 1}, text));
     CHECK(group.node(4).config->digest().revision == 1);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_hundredRaces_haveOneWinnerEach")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_hundredConcurrentProposals_oneOfEachIsAccepted")
 {
     for (std::uint64_t base = 1; base <= 100; ++base) {
         std::vector<std::shared_ptr<Answer>> answers;
@@ -123,7 +123,7 @@
     checkNeverFell();
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostCommitAnswer_isSettledAsAccepted")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostCommitAnswer_isResolvedAsAccepted")
 {
     group.table().setMode(StoreMode::LoseAnswers);
     const Result<std::uint64_t> result = apply(2, 1);
@@ -132,12 +132,11 @@
     CHECK(group.runUntil([&] { return group.allHold(2); }, 4s));
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_lostAnswerAndStoreDown_saysThatItMayHaveBeenAccepted")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostAnswerAndStoreDown_verdictIsMayHaveRun")
 {
     group.table().setMode(StoreMode::LoseAnswers);
     const auto answer = start(2, 1, 2, "change-1");
-    group.run(16ms); // Read, body, commit: its answer is lost.
+    group.run(16ms); // Read, body and commit, whose answer is lost.
     group.table().setMode(StoreMode::Down);
     const Result<std::uint64_t> result = finish(answer);
     REQUIRE_FALSE(result);
@@ -149,7 +148,7 @@
     CHECK(again.value() == 2);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_storeDownBeforeCommit_saysThatNothingChanged")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_storeDownBeforeCommit_verdictIsNotRun")
 {
     group.table().setMode(StoreMode::Down);
     const Result<std::uint64_t> result = apply(2, 1);
@@ -158,7 +157,7 @@
     CHECK(result.error().reason == Reason::StoreDown);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_repeatedChangeId_getsTheFirstResult")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_resentChangeId_returnsTheFirstResult")
 {
     REQUIRE(finish(start(0, 1, 2, "once")).value() == 2);
     REQUIRE(finish(start(0, 2, 3, "other")).value() == 3);
@@ -168,7 +167,7 @@
     CHECK(group.node(0).config->digest().revision == 3);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_rollBack_isANewRevisionWithTheOldText")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_rollBack_createsANewRevisionWithTheOldText")
 {
     const std::string first = group.node(0).config->text();
     REQUIRE(apply(0, 1));
@@ -187,7 +186,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_storeDownAfterAcceptance_stillReachesAllAndANewRouter")
+                  "config_storeDownAfterAcceptance_propagatesToAllAndToARestartedRouter")
 {
     REQUIRE(apply(0, 1));
     group.table().setMode(StoreMode::Down);
@@ -200,7 +199,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_partitionHealed_lowerSideTakesOverTheHigherRevision")
+                  "config_partitionHealed_lowerSideActivatesTheHigherRevision")
 {
     group.block([](std::size_t a, std::size_t b) { return (a < 4) != (b < 4); });
     for (std::uint64_t base = 1; base <= 5; ++base)
@@ -216,7 +215,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_storeRestoredFromAnOldCopy_keepsTheHigherRevisionAndRefusesChanges")
+                  "config_storeRestoredFromBackup_keepsTheHigherRevisionAndRefusesChanges")
 {
     REQUIRE(apply(0, 1));
     REQUIRE(group.runUntil([&] { return group.allHold(2); }, 4s));
@@ -230,7 +229,7 @@
     CHECK(group.node(3).config->digest().revision == 2);
 }
 
-TEST_CASE("config_peerBringsRevisionWhileHeadIsRead_losesTheRaceAndIsToldSo")
+TEST_CASE("config_peerSendsRevisionWhileHeadIsRead_proposalGetsAConflict")
 {
     const ManualClock clock;
     FakeTable table;
@@ -253,7 +252,7 @@
     Answer answer;
     keeper.propose({.text = inventoryText(12, 3), .base = 1, .author = "desk"},
                    [&](Result<std::uint64_t> it) { answer = it; });
-    // The answer still shows the first revision, though a peer has told of the second.
+    // The answer still contains the first revision, although a peer has sent the second.
     REQUIRE(keeper.takeOver({.revision = 2, .hash = hash64(second)}, second));
     table.end(0, FakeTable::Fate::Answered);
     table.rows[config_rows::Head] = {
@@ -267,7 +266,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_headSeenFirst_waitsForPeersBeforeItReadsTheBody")
+                  "config_higherHeadRead_waitsForPeersBeforeReadingTheBody")
 {
     group.block([](std::size_t, std::size_t b) { return b == 8; });
     REQUIRE(apply(0, 1));
@@ -278,7 +277,7 @@
     CHECK(group.objects().gets() == 1);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "spread_waiter_isToldHowManyHoldTheRevision")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "propagator_awaitHolders_reportsHowManyHaveTheRevision")
 {
     REQUIRE(apply(0, 1));
     std::optional<std::size_t> held;
@@ -295,7 +294,7 @@
     CHECK(late == 0);
 }
 
-TEST_CASE("textDelta_randomEdits_bringTheOtherText")
+TEST_CASE("textDelta_randomEdits_produceTheNewText")
 {
     const RandomSource random = seededRandom(5);
     for (int round = 0; round < 300; ++round) {
--- a/test/EngineKnowledgeTest.cpp
+++ b/test/EngineKnowledgeTest.cpp
@@ -56,16 +56,16 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_laggingReports_haveAnAgeAndAreForgotten")
+TEST_CASE_FIXTURE(KnowledgeFixture, "engineTracker_delayedReports_haveAnAgeAndExpire")
 {
     CHECK_FALSE(knowledge.hint("e1"));
     knowledge.noteLoad("e1", load(5, 3s));
     clock.advance(2s);
     REQUIRE(knowledge.hint("e1"));
     CHECK(knowledge.hint("e1")->age == 5s);
-    knowledge.noteLoad("e1", load(9, 8s)); // Crossed on its way with the younger one.
+    knowledge.noteLoad("e1", load(9, 8s)); // Overtaken by the more recent report.
     CHECK(knowledge.hint("e1")->load == 5);
-    knowledge.noteLoad("e2", load(1, -1h)); // A clock that runs ahead.
+    knowledge.noteLoad("e2", load(1, -1h)); // The engine's clock is ahead.
     CHECK(knowledge.hint("e2")->age == 0s);
     clock.advance(11s);
     CHECK_FALSE(knowledge.hint("e1"));
@@ -73,7 +73,7 @@
     CHECK_FALSE(knowledge.hint("e1")->reachable);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_gapInCacheEvents_halvesWhatIsFromBefore")
+TEST_CASE_FIXTURE(KnowledgeFixture, "engineTracker_gapInCacheEvents_halvesTokensFromBefore")
 {
     knowledge.noteEvents("e1",
                          {.events = {{.seq = 1, .chat = "a", .tokens = 100},
@@ -94,7 +94,7 @@
     CHECK(knowledge.cachedTokens("e1", "c") == 0);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_restartedEngine_isBelievedToHoldNothing")
+TEST_CASE_FIXTURE(KnowledgeFixture, "engineTracker_restartedEngine_hasNoCachedChats")
 {
     knowledge.noteEvents("e1", {.events = {{.seq = 9, .chat = "a", .tokens = 100}}, .next = 9});
     knowledge.noteEvents("e1", {.events = {}, .next = 0});
@@ -103,7 +103,7 @@
     CHECK(knowledge.cachedTokens("e1", "b") == 10);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_moreChatsThanTheLimit_keepsTheLatest")
+TEST_CASE_FIXTURE(KnowledgeFixture, "engineTracker_moreChatsThanTheLimit_keepsTheLatest")
 {
     for (const char *it : {"a", "b", "c", "d"})
         knowledge.noteServed("e1", it, 1, 10);
@@ -111,7 +111,7 @@
     CHECK(knowledge.cachedTokens("e1", "a") == 0);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "poller_twoEnginesOneDown_readsThemInTurnAndSaysWhichIsDown")
+TEST_CASE_FIXTURE(KnowledgeFixture, "poller_twoEnginesOneDown_readsBothAndReportsTheUnreachableOne")
 {
     FakeEngines engines;
     engines.machines["a1"].load = load(4);
@@ -139,7 +139,7 @@
     CHECK_FALSE(knowledge.hint("e2")->reachable);
 }
 
-TEST_CASE("digest_tenThousandEngines_staysWithinItsSizeAndNamesTheWorst")
+TEST_CASE("digest_tenThousandEngines_staysWithinItsSizeAndListsTheWorst")
 {
     ManualClock clock;
     EngineKnowledge knowledge({.clock = clock});
@@ -189,7 +189,8 @@
     CHECK(total == 1000); // Each engine has exactly one owner while the lists agree.
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "kvMove_plannedLeave_copiesEachChatToTheNextInItsOrder")
+TEST_CASE_FIXTURE(KnowledgeFixture,
+                  "kvCacheMigrator_engineLeaves_copiesEachChatToTheNextInItsOrder")
 {
     FakeEngines engines;
     Metrics metrics;
@@ -208,7 +209,7 @@
     engines.machines["10.0.0.1:80"].kv = {{"a", "blob-a"}, {"b", "blob-b"}};
     knowledge.noteServed("e1", "a", 11, 10);
     knowledge.noteServed("e1", "b", 12, 20);
-    knowledge.noteServed("e1", "gone", 13, 5); // Evicted meanwhile: fails and does no harm.
+    knowledge.noteServed("e1", "gone", 13, 5); // Evicted meanwhile: this copy fails.
     mover.setInventory(inventory(false));
     CHECK(mover.waiting() == 0);
     mover.setInventory(inventory(true));
--- a/test/EvacuatedDomainsTest.cpp
+++ b/test/EvacuatedDomainsTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-// Guards against a router that is behind and takes back what the others know.
+// Guards against an older state, for example from a router that lags behind, reverting a newer one.
 TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_olderStates_changeNothing")
 {
     evacuated.accept({.storeVersion = 10, .domains = {"d1"}});
@@ -38,7 +38,7 @@
     CHECK(changes == 2);
 }
 
-TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_changes_addToWhatIsKnown")
+TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_changes_areAppliedToTheState")
 {
     evacuated.accept({.storeVersion = 10, .domains = {"d1"}});
     const std::vector<DomainEvacuation> more = {{.domain = "d2"}};
@@ -48,14 +48,13 @@
                                                 {.domain = "d9", .isEvacuated = false}};
     evacuated.change(less, 13);
     CHECK(domains() == Domains{"d2"});
-    // A router may be told of the newest state before its own read of what led there returns.
+    // A router may receive the newest state before its own read of the earlier changes returns.
     evacuated.accept({.storeVersion = 20, .domains = {"d3"}});
     evacuated.change(more, 18);
     CHECK(domains() == Domains{"d3"});
 }
 
-TEST_CASE_FIXTURE(EvacuatedDomainsFixture,
-                  "evacuatedDomains_nothingEverEvacuated_isNotWorthTelling")
+TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_nothingEverEvacuated_isNotAnnounced")
 {
     evacuated.accept({.storeVersion = 10});
     evacuated.accept({.storeVersion = 11});
@@ -66,7 +65,7 @@
     CHECK(evacuated.isWorthTelling());
 }
 
-TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_inABeat_areReadBack")
+TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_encodedInAHeartbeat_areDecoded")
 {
     BeatCodec codec;
     const RouterBeat sent{.name = "a", .evacuated = {.storeVersion = 1ULL << 40, .domains = {"d"}}};
--- a/test/FakeObjectStore.h
+++ b/test/FakeObjectStore.h
@@ -6,7 +6,7 @@
 
 namespace catkinloft {
 
-/// \brief An object store in memory that answers at once.
+/// \brief In-memory object store that answers immediately.
 class FakeObjectStore final : public ObjectStore
 {
 public:
--- a/test/FakeTable.h
+++ b/test/FakeTable.h
@@ -7,15 +7,15 @@
 
 namespace catkinloft {
 
-/// \brief A table service whose calls wait until a test decides how each one ends.
+/// \brief Table service whose calls stay pending until a test determines their outcome.
 class FakeTable final : public TableService
 {
 public:
     enum class Fate {
         Answered, ///< Takes effect and is answered.
-        AnswerLost, ///< Takes effect; the caller hears of a failure.
-        Late, ///< The caller hears of a failure; the effect comes with applyLate().
-        Refused, ///< The store's word that nothing took effect.
+        AnswerLost, ///< Takes effect; the caller gets an error.
+        Late, ///< The caller gets an error; takes effect with applyLate().
+        Refused, ///< The caller gets an error with Verdict::NotRun; takes no effect.
     };
 
     void read(std::vector<std::string> keys, Callback<std::vector<TableRow>> done) override
@@ -39,7 +39,7 @@
         pending.push_back({.transaction = std::move(transaction), .done = std::move(done)});
     }
 
-    /// \brief Ends call \a i of `pending`.
+    /// \brief Ends call \a i of \a pending with \a fate.
     void end(std::size_t i, Fate fate)
     {
         const Call call = std::move(pending[i]);
@@ -52,7 +52,7 @@
             endCommit(call, fate);
     }
 
-    /// \brief Answers everything, also what is asked meanwhile.
+    /// \brief Answers all pending calls, including those made meanwhile.
     void endAll()
     {
         while (!pending.empty())
@@ -84,7 +84,7 @@
     std::vector<TableTransaction> late;
     std::map<std::string, TableRow> rows;
     std::uint64_t commits = 0;
-    bool checksVersions = true; ///< false: a store without compare-and-set.
+    bool checksVersions = true; ///< false: the store has no working compare-and-set.
 
 private:
     bool apply(const TableTransaction &transaction)
--- a/test/LeaseKeeperTest.cpp
+++ b/test/LeaseKeeperTest.cpp
@@ -28,7 +28,7 @@
         return out;
     }
 
-    /// Lets time pass in small steps, with every request meeting \a fate.
+    /// Advances the clock in small steps; every request ends with \a fate.
     void pass(Duration time, std::initializer_list<LeaseKeeper *> awake, Fate fate = Fate::Answered)
     {
         for (Duration t{}; t < time; t += 500ms) {
@@ -45,8 +45,9 @@
     std::unique_ptr<LeaseKeeper> b = keeper("b", 2);
 };
 
-/// Two holders under a random schedule of pauses, lost and late requests. Each acts whenever it may
-/// and the engine's side of the story is checked: numbers never fall and none has two holders.
+/// Two contenders under a random schedule of pauses, lost and late requests. Each acts whenever it
+/// holds the lease. The engine's view is checked: fencing numbers never fall and no number has two
+/// holders.
 class RandomSchedule : LeaseFixture
 {
 public:
@@ -58,7 +59,7 @@
         table.ignoresVersions = brokenTable;
     }
 
-    /// \returns whether the rules held; how often a holder acted is added to \a acts.
+    /// \returns whether no violation was found; adds the number of actions to \a acts.
     bool run(int &acts)
     {
         for (int i = 0; i < 1500 && m_isSafe; ++i) {
@@ -126,16 +127,16 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsUnderOneNumber")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsWithTheSameNumber")
 {
     pass(300s, {a.get(), b.get()});
     CHECK(a->fence().has_value() != b->fence().has_value());
     CHECK((a->fence() ? a : b)->fence() == 1u);
-    // One taking and a renewal every 15 s, 20 at most: what the capacity page counts with.
+    // One acquisition and a renewal every 15 s, 20 at most, as the capacity planning assumes.
     CHECK(table.writes() <= 21);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsEnd_mayNotActThoughItHeardNothing")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsExpiry_hasNoFencingNumber")
 {
     pass(10s, {a.get()});
     REQUIRE(a->fence() == 1u);
@@ -148,7 +149,7 @@
     CHECK_FALSE(confirmed);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfTaking_isSettledByReadingBack")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfAcquisition_isResolvedByReadingTheRow")
 {
     clock.advance(10s);
     a->poll();
@@ -159,7 +160,7 @@
     CHECK(a->fence() == 1u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_keepsUntilExpiryThenStopsAndTakesAnewOnReturn")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_isHeldUntilExpiryAndAcquiredAnewAfterTheOutage")
 {
     pass(10s, {a.get()});
     pass(25s, {a.get()}, Fate::LostRequest);
@@ -170,7 +171,7 @@
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givenBack_isTakenWithoutWaitingForItsEnd")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_released_isAcquiredWithoutWaitingForItsExpiry")
 {
     pass(10s, {a.get()});
     a->setWanted(false);
@@ -179,8 +180,7 @@
     CHECK(b->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture,
-                  "lease_engineSawHigherNumber_numberRisesAboveItWithoutLosingTheLease")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_engineReceivedHigherNumber_numberRisesWithoutLosingTheLease")
 {
     pass(10s, {a.get()});
     a->raiseFence(41);
@@ -188,7 +188,7 @@
     CHECK(a->fence() == 42u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isNotTheOldHolder")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isAnotherHolder")
 {
     pass(10s, {a.get()});
     a = keeper("a", 77);
@@ -198,9 +198,10 @@
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givingBackStillUnderWay_isNotHeldWhenWantedAgain")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_releaseInFlight_isNotHeldWhenWantedAgain")
 {
-    // Found by the random schedules: the giving back landed while its sender held on again.
+    // Guards against a release that takes effect after its sender wants the lease again and
+    // considers it held.
     pass(10s, {a.get()});
     a->setWanted(false);
     a->poll();
@@ -213,16 +214,16 @@
     CHECK_FALSE(a->fence());
 }
 
-TEST_CASE("lease_randomSchedules_neverTwoHoldersNorFallingNumbers")
+TEST_CASE("lease_randomSchedules_neverTwoHoldersOrFallingNumbers")
 {
     int acts = 0;
     CHECK(unsafeSchedules(2s, false, acts) == 0);
-    CHECK(acts > 10'000); // Else the schedules would prove nothing.
+    CHECK(acts > 10'000); // Fewer actions would make the check meaningless.
 }
 
-TEST_CASE("lease_rulesBrokenOnPurpose_areCaughtByTheSameSchedules")
+TEST_CASE("lease_injectedViolations_areDetectedByTheSameSchedules")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(-30s, false, acts) > 0); // Acts on after the end.
-    CHECK(unsafeSchedules(2s, true, acts) > 0); // A compare-and-set that does not compare.
+    CHECK(unsafeSchedules(-30s, false, acts) > 0); // The holder acts after the expiry.
+    CHECK(unsafeSchedules(2s, true, acts) > 0); // The compare-and-set does not compare.
 }
--- a/test/OrderControllerTest.cpp
+++ b/test/OrderControllerTest.cpp
@@ -24,7 +24,7 @@
     return out;
 }
 
-/// Controllers of several routers before the same engines and the same table.
+/// Controllers of several routers that share the engines and the table service.
 struct OrdersFixture
 {
     Engine engine(int i, bool checksFencing, const std::string &version = "v1")
@@ -90,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(OrdersFixture, "orders_drift_isRepairedStepByStepAndAgainLater")
+TEST_CASE_FIXTURE(OrdersFixture, "orders_drift_isRepairedStepByStepAndAgainAfterAnotherDrift")
 {
     addRouter().setInventory(inventoryOf(1, {engine(1, true)}));
     pass(90s);
@@ -127,7 +127,7 @@
     addRouter().setInventory(inventoryOf(1, {it}));
     pass(120s);
     CHECK(state(1).version == "v0");
-    CHECK(state(1).adapters.size() == 1); // What only adds is given all the same.
+    CHECK(state(1).adapters.size() == 1); // Orders that only add are still sent.
     CHECK(metrics.counter("catkinloft_orders_withheld_total", "order=\"set_version\"") > 0);
     it.leaving = true;
     routers[0]->setInventory(inventoryOf(2, {it}));
@@ -150,9 +150,9 @@
     pass(120s, {0});
     REQUIRE(state(1).version == "v2");
     engines.releaseHeld();
-    CHECK(state(1).version == "v1"); // The harm that is left: nobody is served by it meanwhile,
+    CHECK(state(1).version == "v1"); // The late order is executed, but the engine gets no requests
     pass(30s, {0});
-    CHECK(state(1).version == "v2"); // and the read-back mends it.
+    CHECK(state(1).version == "v2"); // until the next read of its state repairs it.
 }
 
 TEST_CASE_FIXTURE(OrdersFixture, "orders_engineThatIgnoresNumbers_rowIsReadRightBeforeTheOrder")
@@ -160,7 +160,7 @@
     Engine it = engine(1, false);
     addRouter().setInventory(inventoryOf(1, {it}));
     pass(5s);
-    // The row goes to another while this router still believes in its lease.
+    // Another holder acquires the row while this router still considers the lease held.
     const std::string key = orderLeaseKey(orderGroupOf(it.name));
     pass(4s);
     const Lease other{.holder = "x", .fence = 9, .attempt = 1, .duration = 45s};
@@ -173,7 +173,7 @@
     CHECK(engines.log.empty());
 }
 
-TEST_CASE_FIXTURE(OrdersFixture, "orders_storeDown_stopsWithTheLeaseAndRepairsOnReturn")
+TEST_CASE_FIXTURE(OrdersFixture, "orders_storeDown_stopWithTheLeaseAndRepairAfterTheOutage")
 {
     addRouter().setInventory(inventoryOf(1, {engine(1, true)}));
     pass(60s);
@@ -186,7 +186,7 @@
     CHECK(state(1).adapters.size() == 1);
 }
 
-TEST_CASE_FIXTURE(OrdersFixture, "orders_engineSawHigherNumber_numberIsRaisedAndTheOrderTaken")
+TEST_CASE_FIXTURE(OrdersFixture, "orders_engineReceivedHigherNumber_numberIsRaisedAndOrderApplied")
 {
     Engine it = engine(1, true);
     engines.machines.at(it.address).state.fence = 70;
@@ -197,7 +197,7 @@
 }
 
 TEST_CASE_FIXTURE(OrdersFixture,
-                  "orders_engineLiesAboutItsNumber_theOthersOfItsGroupAreOrderedAllTheSame")
+                  "orders_engineReportsImplausibleNumber_othersOfItsGroupStillGetOrders")
 {
     Engine liar = engine(1, true);
     Engine honest = engine(2, true);
@@ -210,8 +210,7 @@
     CHECK(engines.machines.at(liar.address).state.version == "v0");
 }
 
-TEST_CASE_FIXTURE(OrdersFixture,
-                  "orders_weightStoreRefuses_nobodyAsksBeforeRetryAfterAndFewLoadAtATime")
+TEST_CASE_FIXTURE(OrdersFixture, "orders_weightStoreRefuses_retryAfterIsHonouredAndFewLoadAtATime")
 {
     std::vector<Engine> all;
     for (int i = 1; i <= 24; ++i)
@@ -222,13 +221,13 @@
     for (std::size_t i = 0; i < 8; ++i)
         addRouter().setInventory(inventoryOf(1, all));
     pass(900s);
-    CHECK(engines.askedTooEarly <= 3); // The holders of the other slots learn by asking once.
+    CHECK(engines.askedTooEarly <= 3); // Each holder of another slot asks once before it knows.
     CHECK(engines.mostLoading <= 4);
     for (int i = 1; i <= 24; ++i)
         CHECK(state(i).version == "v1");
 }
 
-TEST_CASE_FIXTURE(OrdersFixture, "orders_manyEngines_readingsStayWithinTheirBudget")
+TEST_CASE_FIXTURE(OrdersFixture, "orders_manyEngines_readsStayWithinTheirBudget")
 {
     std::vector<Engine> all;
     for (int i = 1; i <= 200; ++i) {
--- a/test/ReplicaRegistryTest.cpp
+++ b/test/ReplicaRegistryTest.cpp
@@ -42,7 +42,7 @@
     CHECK(names() == "b ");
 }
 
-TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_draining_isNeverTakenBack")
+TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_draining_isNeverReverted")
 {
     read({a, b});
     read({leaving, b});
@@ -50,9 +50,9 @@
     CHECK(names() == "a! b ");
 }
 
-// Guards against an entry that is older than the replica's word and takes it back.
+// Guards against an entry that is older than the replica's answer and reverts its leaving.
 TEST_CASE_FIXTURE(ReplicaRegistryFixture,
-                  "replicaRegistry_answerSaysItLeaves_readyEntryDoesNotUndoIt")
+                  "replicaRegistry_answerSaysLeaving_readyEntryDoesNotRevertIt")
 {
     a.sequence = 7;
     read({a, b});
@@ -61,14 +61,14 @@
     a.sequence = 9;
     read({a, b});
     CHECK(names() == "a! b ");
-    SUBCASE("its entry lapses and comes back")
+    SUBCASE("its entry expires and is restored")
     {
         read({b});
         clock.advance(10s);
         read({a, b});
         CHECK(names() == "a! b ");
     }
-    SUBCASE("it is told before the entry is known")
+    SUBCASE("it is marked before its entry is read")
     {
         registry.noteLeaving("c", Source::Answer);
         read({a, b, {.id = "c", .service = "s"}});
@@ -76,19 +76,19 @@
     }
 }
 
-// Guards against leaving out the process that gets the name or the address of one that left.
-TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_anotherProcessUnderTheSameName_isUsed")
+// Guards against excluding a new process that gets the id or the address of a replica that left.
+TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_anotherProcessUnderTheSameId_isUsed")
 {
     a.address = "10.0.0.1:80";
     a.sequence = 7;
-    SUBCASE("it tells when it started")
+    SUBCASE("it reports its start time")
     {
         a.startedAt = 1'700'000'000'000;
         read({a, b});
         registry.noteLeaving(a.incarnation(), Source::Answer);
         a.startedAt += 5000;
     }
-    SUBCASE("its count starts anew")
+    SUBCASE("its sequence restarts")
     {
         read({a, b});
         registry.noteLeaving("a", Source::Answer);
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaRegistryFixture,
-                  "replicaRegistry_misdirectedAnswer_isOfTheOtherProcessThere")
+                  "replicaRegistry_misdirectedAnswer_marksTheOtherReplicaAtTheAddress")
 {
     a.address = b.address = "10.0.0.1:80";
     read({a, b});
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaRegistryFixture,
-                  "replicaRegistry_missingAfterOutage_staysForItsReturnTime")
+                  "replicaRegistry_missingAfterOutage_isRetainedUntilItRegistersAgain")
 {
     read({a, b});
     clock.advance(9s);
@@ -135,7 +135,8 @@
     CHECK(names() == "a b ");
 }
 
-TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_stillMissingAfterReturnTime_isGone")
+TEST_CASE_FIXTURE(ReplicaRegistryFixture,
+                  "replicaRegistry_stillMissingAfterReregistrationTime_isGone")
 {
     read({a, b});
     clock.advance(9s);
@@ -169,11 +170,11 @@
     CHECK(registry.age() == 0s);
     CHECK(registry.storeVersion() == version + 3);
     read({leaving, b});
-    CHECK(registry.hash() == hash); // An older snapshot than the one that was confirmed.
+    CHECK(registry.hash() == hash); // Ignored: older than the confirmed store version.
 }
 
 TEST_CASE_FIXTURE(ReplicaRegistryFixture,
-                  "replicaRegistry_confirmedAfterReturnTime_dropsTheMissing")
+                  "replicaRegistry_confirmedAfterReregistrationTime_removesTheMissing")
 {
     read({a, b});
     clock.advance(9s);
@@ -221,9 +222,10 @@
     CHECK(names() == "a b ");
 }
 
-// Guards against the whole list for each of hundreds of routers whenever one replica comes or goes.
+// Guards against sending the whole list to hundreds of routers whenever one replica joins or
+// leaves.
 TEST_CASE_FIXTURE(ReplicaRegistryFixture,
-                  "replicaRegistry_routerThatHasAnEarlierList_isToldTheChanges")
+                  "replicaRegistry_routerWithAnEarlierList_getsOnlyTheChanges")
 {
     ReplicaRegistry other{{.clock = clock}};
     ReplicaRecord cold{.id = "c", .service = "s", .coldFor = 3s};
@@ -241,7 +243,7 @@
     REQUIRE(other.replicas().size() == 2);
     CHECK(other.replicas()[1].coldUntil == registry.replicas()[1].coldUntil);
     CHECK(other.replicas()[0].coldUntil == TimePoint());
-    SUBCASE("a change of a list that it does not have is not taken")
+    SUBCASE("a change of an unknown list is refused")
     {
         read({leaving, cold});
         ReplicaUpdate strange = registry.updateSince(other.hash());
@@ -249,7 +251,7 @@
         CHECK_FALSE(other.applyUpdate(strange, clock.now()));
         CHECK(other.replicas().size() == 2);
     }
-    SUBCASE("a list that is too old is told whole")
+    SUBCASE("for a base list that is too old the whole list is sent")
     {
         const std::uint64_t old = other.hash();
         for (int i = 0; i < 20; ++i) {
@@ -261,7 +263,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_replicaTurnsCold_isAChange")
+TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_replicaBecomesCold_isAChange")
 {
     read({a, b});
     const std::uint64_t before = registry.hash();
