--- a/src/Control/ConfigInForce.h
+++ b/src/Control/ActiveConfig.h
@@ -15,18 +15,18 @@
 /// from the store, so a key is only accepted while the freshness proof is recent enough. The proof
 /// is a read of the store. It is dated by the start of the read, because the answer can be delayed
 /// for any length of time. The clock must include the time for which a VM is suspended.
-class ConfigInForce
+class ActiveConfig
 {
 public:
-    explicit ConfigInForce(const Clock &clock) : m_clock(clock) { }
+    explicit ActiveConfig(const Clock &clock) : m_clock(clock) { }
 
     /// \brief Activates \a config, which was read from the store by a call that started at
-    /// \a readBegan.
+    /// \a readStartedAt.
     /// \returns false if the active configuration is newer; it stays active then.
-    bool accept(RouteConfigPtr config, TimePoint readBegan);
+    bool accept(RouteConfigPtr config, TimePoint readStartedAt);
 
-    /// \brief Records that at \a readBegan no revision newer than \a revision existed.
-    void confirm(std::uint64_t revision, TimePoint readBegan);
+    /// \brief Records that at \a readStartedAt no revision newer than \a revision existed.
+    void confirm(std::uint64_t revision, TimePoint readStartedAt);
 
     /// \returns the active configuration; nullptr before the first one.
     const RouteConfigPtr &config() const { return m_config; }
--- a/src/Control/ConfigKeeper.h
+++ b/src/Control/ConfigManager.h
@@ -33,7 +33,7 @@
 ///
 /// Handles 25,000 changes a day from concurrent operators, with a store that can be unavailable and
 /// whose answers can be lost.
-class ConfigKeeper
+class ConfigManager
 {
 public:
     struct Options
@@ -45,7 +45,7 @@
         std::function<void(Duration, std::function<void()>)> after; ///< Runs a callback later.
     };
 
-    explicit ConfigKeeper(Options options);
+    explicit ConfigManager(Options options);
 
     /// \returns the active inventory; nullptr before the first one.
     InventoryPtr current() const { return m_current; }
@@ -65,7 +65,7 @@
     /// \brief Activates \a text as the configuration with \a digest, if its revision is higher than
     /// the active one and its hash matches.
     /// \returns whether it is active now.
-    bool takeOver(const ConfigDigest &digest, const std::string &text);
+    bool activate(const ConfigDigest &digest, const std::string &text);
 
     /// \brief Validates and commits \a change; \a done receives the new revision.
     ///
@@ -85,29 +85,30 @@
     sigc::signal<void(InventoryPtr)> &changed() { return m_changed; }
 
     /// \brief Emitted with the new text before it is activated; text() still returns the old one.
-    sigc::signal<void(const std::string &)> &replacing() { return m_replacing; }
+    sigc::signal<void(const std::string &)> &aboutToChange() { return m_aboutToChange; }
 
 private:
     struct Proposal
     {
         ConfigChange change;
         ConfigRecord record;
-        std::uint64_t inForce = 0; ///< Active revision when the read of the head was started.
+        std::uint64_t activeRevision =
+                0; ///< Active revision when the read of the head was started.
         std::uint64_t headVersion = 0;
         std::string expiredChangeId; ///< Of the history row that this change removes.
-        int settling = 0; ///< Reads so far that checked whether the commit took effect.
+        int resolveAttempts = 0; ///< Reads so far that checked whether the commit took effect.
         std::function<void(Result<std::uint64_t>)> done;
     };
     using ProposalPtr = std::shared_ptr<Proposal>;
 
-    void fetchHead(const ConfigRecord &head);
-    void decide(const ProposalPtr &it, const std::vector<TableRow> &rows);
-    bool answerRepeated(const ProposalPtr &it, const std::vector<TableRow> &rows);
-    void lose(const ProposalPtr &it, const ConfigRecord &head);
+    void fetchBody(const ConfigRecord &head);
+    void checkHead(const ProposalPtr &it, const std::vector<TableRow> &rows);
+    bool answerDuplicate(const ProposalPtr &it, const std::vector<TableRow> &rows);
+    void reportConflict(const ProposalPtr &it, const ConfigRecord &head);
     void store(const ProposalPtr &it);
     void commit(const ProposalPtr &it);
-    void settle(const ProposalPtr &it);
-    void settleLater(const ProposalPtr &it);
+    void resolveOutcome(const ProposalPtr &it);
+    void resolveOutcomeLater(const ProposalPtr &it);
     void accept(const ProposalPtr &it);
 
     Options m_options;
@@ -115,10 +116,10 @@
     InventoryPtr m_current;
     std::string m_text;
     ConfigDigest m_digest;
-    std::uint64_t m_fetching = 0; ///< Revision whose body is being fetched; 0: none.
+    std::uint64_t m_fetchingRevision = 0; ///< Revision whose body is being fetched; 0: none.
     TimePoint m_lastConfirmed = TimePoint::min();
     sigc::signal<void(InventoryPtr)> m_changed;
-    sigc::signal<void(const std::string &)> m_replacing;
+    sigc::signal<void(const std::string &)> m_aboutToChange;
 };
 
 } // namespace catkinloft
--- a/src/Control/ConfigSpread.h
+++ b/src/Control/ConfigPropagator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Clock.h"
-#include "Control/ConfigKeeper.h"
+#include "Control/ConfigManager.h"
 #include "Control/Membership.h"
 
 #include <cstdint>
@@ -20,20 +20,20 @@
 /// Handles 25,000 changes a day at 890 routers. If each router read each body from the object
 /// store, that would be 257 reads a second of more than a megabyte; a delta of a few hundred bytes
 /// from a peer costs about 1 KB per change and router.
-class ConfigSpread
+class ConfigPropagator
 {
 public:
     struct Options
     {
         const Clock &clock;
-        ConfigKeeper &config;
+        ConfigManager &config;
         Membership &membership;
         std::function<void(const std::string &address, PeerMessage)> send;
         /// Requests a delta that exceeds a datagram from a peer over TCP.
         std::function<void(const std::string &address, const ConfigDigest &base)> fetchLarge = {};
     };
 
-    explicit ConfigSpread(Options options);
+    explicit ConfigPropagator(Options options);
 
     /// \brief Handles a message that was also passed to Membership::receive().
     void receive(const std::string &address, const PeerMessage &message);
@@ -52,7 +52,7 @@
     void applyDelta(const PeerMessage &message);
 
     /// \returns how many other routers have reported \a revision or a higher one.
-    std::size_t holders(std::uint64_t revision) const;
+    std::size_t countHolders(std::uint64_t revision) const;
 
     /// \returns the highest revision that router \a name has reported; 0 if it has not reported
     /// any.
@@ -64,7 +64,7 @@
                       std::function<void(std::size_t)> done);
 
 private:
-    struct Step
+    struct Change
     {
         ConfigDigest from;
         ConfigDigest to;
@@ -78,21 +78,21 @@
         std::function<void(std::size_t)> done;
     };
 
-    void noteStep(const std::string &next);
+    void recordChange(const std::string &next);
     void request(const std::string &address);
     void answer(const std::string &address, const PeerMessage &message);
     void checkWaiters();
 
     Options m_options;
-    std::deque<Step> m_steps; ///< The last changes, oldest first.
+    std::deque<Change> m_recentChanges; ///< The last changes, oldest first.
     /// The delta that the next text is built from, so that it is not computed a second time.
-    TextDelta m_arriving;
-    bool m_hasArriving = false;
-    ConfigDigest m_before;
-    std::uint64_t m_wanted = 0; ///< Highest revision that any peer has reported.
-    std::string m_wantedFrom;
-    int m_asked = 0; ///< Requests since the last answer.
-    TimePoint m_askAgain = TimePoint::min();
+    TextDelta m_receivedDelta;
+    bool m_hasReceivedDelta = false;
+    ConfigDigest m_previousDigest;
+    std::uint64_t m_newestKnown = 0; ///< Highest revision that any peer has reported.
+    std::string m_newestKnownFrom;
+    int m_unansweredRequests = 0; ///< Requests since the last answer.
+    TimePoint m_nextRequestAt = TimePoint::min();
     std::map<std::string, std::uint64_t, std::less<>> m_holders;
     std::vector<Waiter> m_waiters;
 };
--- a/src/Control/ConfigTexts.h
+++ b/src/Control/ConfigTextCache.h
@@ -17,7 +17,7 @@
 /// Handles an operator who repeatedly changes one route of a thousand while hundreds of routers
 /// request the text from the same router. Prevents sending the whole text, which is 125 KB
 /// compressed, to each of them for each change; that is more than what their callers send.
-class ConfigTexts
+class ConfigTextCache
 {
 public:
     /// \brief Adds \a text of \a revision; ignored unless it is the newest revision.
@@ -28,7 +28,7 @@
     void describe(std::uint64_t known, PeerState &out);
 
     /// \returns the text that \a state contains, as whole or as a delta of \a known.
-    static Result<std::string> textIn(const PeerState &state, std::string_view known);
+    static Result<std::string> unpackText(const PeerState &state, std::string_view known);
 
 private:
     struct Entry
@@ -37,7 +37,7 @@
         std::string text;
     };
 
-    void forgetOld();
+    void removeOld();
 
     std::deque<Entry> m_entries; ///< The newest last.
     std::map<std::uint64_t, PeerState::Packed> m_packed; ///< By base revision; 0: the whole text.
--- a/src/Control/EngineDigest.h
+++ b/src/Control/EngineDigest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Control/EngineKnowledge.h"
+#include "Control/EngineTracker.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -34,9 +34,9 @@
     double meanLoad = 0;
     std::vector<Entry> entries; ///< Unreachable ones first, then the highest loads.
 
-    /// \returns the digest of those of \a engines for which \a knowledge has a hint.
+    /// \returns the digest of those of \a engines for which \a tracker has a hint.
     /// \param factor an engine is listed if its load exceeds this multiple of the mean.
-    static EngineDigest of(const EngineKnowledge &knowledge, std::span<const std::string> engines,
+    static EngineDigest of(const EngineTracker &tracker, std::span<const std::string> engines,
                            double factor);
 
     /// \returns URL-safe text of at most 134 characters.
@@ -47,15 +47,15 @@
 };
 
 /// \brief The digests received from other routers, and their ages.
-class EngineDigestBoard
+class PeerEngineDigests
 {
 public:
     /// \param maxAge digests older than this are dropped; an engine that is not listed is assumed
     /// to be in normal state.
-    explicit EngineDigestBoard(const Clock &clock, Duration maxAge = std::chrono::seconds(15));
+    explicit PeerEngineDigests(const Clock &clock, Duration maxAge = std::chrono::seconds(15));
 
     /// \brief Replaces the digest of router \a from.
-    void absorb(std::string_view from, const EngineDigest &digest);
+    void update(std::string_view from, const EngineDigest &digest);
 
     /// \returns the most recent hint for \a engine; nothing if no digest lists it.
     std::optional<EngineHint> hint(std::string_view engine) const;
@@ -64,17 +64,17 @@
     std::size_t size() const { return m_byRouter.size(); }
 
 private:
-    struct Held
+    struct ReceivedDigest
     {
         EngineDigest digest;
         TimePoint at;
     };
 
-    void forgetOld();
+    void removeOld();
 
     const Clock &m_clock;
     Duration m_maxAge;
-    std::unordered_map<std::string, Held> m_byRouter;
+    std::unordered_map<std::string, ReceivedDigest> m_byRouter;
 };
 
 } // namespace catkinloft
--- a/src/Control/EngineKnowledge.h
+++ b/src/Control/EngineTracker.h
@@ -65,7 +65,7 @@
 /// Handles 11 engines per router (10,000 engines and 890 routers), each with hundreds of cached
 /// chats. Prevents a router from trusting an old report and sending all requests to an engine that
 /// is no longer idle, and memory use that grows with the number of chats ever seen.
-class EngineKnowledge
+class EngineTracker
 {
 public:
     struct Options
@@ -78,23 +78,23 @@
         std::size_t chatsPerEngine = 4096;
     };
 
-    explicit EngineKnowledge(Options options);
+    explicit EngineTracker(Options options);
 
     /// \brief Sets the engines that this router reads; drops the state of all others.
     void setOwned(std::span<const std::string> engines);
 
     /// \brief Updates the hint of \a engine, unless a more recent report is stored.
-    void noteLoad(std::string_view engine, const EngineLoad &load);
-    void noteUnreachable(std::string_view engine);
+    void recordLoad(std::string_view engine, const EngineLoad &load);
+    void recordUnreachable(std::string_view engine);
 
     /// \brief Applies cache events. A gap in their sequence numbers means that evictions may be
     /// missing, so chats stored before the gap count half from then on. A restart of the engine
     /// clears its chats.
-    void noteEvents(std::string_view engine, const CacheFeed &feed);
+    void applyEvents(std::string_view engine, const CacheFeed &feed);
 
     /// \brief Records a request that the engine answered; more reliable than its events.
-    void noteServed(std::string_view engine, std::string_view chat, std::uint64_t chatKey,
-                    double tokens);
+    void recordServed(std::string_view engine, std::string_view chat, std::uint64_t chatKey,
+                      double tokens);
 
     /// \returns the cursor from which to read the engine's next events.
     std::uint64_t cursor(std::string_view engine) const;
@@ -122,7 +122,7 @@
     };
     using ChatList = std::list<Chat>; ///< Most recently used first.
 
-    struct Known
+    struct TrackedEngine
     {
         EngineHint hint;
         TimePoint reportedAt; ///< By the local clock, minus the age of the report on arrival.
@@ -133,14 +133,14 @@
         std::unordered_map<std::string, ChatList::iterator> byChat;
     };
 
-    Known *find(std::string_view engine);
-    const Known *find(std::string_view engine) const;
-    Chat &touch(Known &known, std::string_view chat) const;
-    void fold(Known &known, const CacheEvent &event);
-    void changed(std::string_view engine, const Known &known) const;
+    TrackedEngine *find(std::string_view engine);
+    const TrackedEngine *find(std::string_view engine) const;
+    Chat &touch(TrackedEngine &tracked, std::string_view chat) const;
+    void applyEvent(TrackedEngine &tracked, const CacheEvent &event);
+    void notifyHint(std::string_view engine, const TrackedEngine &tracked) const;
 
     Options m_options;
-    std::map<std::string, Known, std::less<>> m_owned;
+    std::map<std::string, TrackedEngine, std::less<>> m_owned;
     std::uint64_t m_gaps = 0;
 };
 
--- a/src/Control/EvacuatedDomains.h
+++ b/src/Control/EvacuatedDomains.h
@@ -34,14 +34,14 @@
     const State &state() const { return m_state; }
 
     /// \returns whether to announce the state to other routers: there is or was an evacuation.
-    bool isWorthTelling() const { return m_isWorthTelling; }
+    bool shouldAnnounce() const { return m_shouldAnnounce; }
 
     /// \brief Emitted after a domain was evacuated or its evacuation was revoked.
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
     State m_state;
-    bool m_isWorthTelling = false;
+    bool m_shouldAnnounce = false;
     sigc::signal<void()> m_changed;
 };
 
--- a/src/Control/EngineKvMover.h
+++ b/src/Control/KvCacheMigrator.h
@@ -2,8 +2,8 @@
 
 #include "Base/Inventory.h"
 #include "Base/Metrics.h"
-#include "Control/EngineKnowledge.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
+#include "Control/EngineTracker.h"
 
 #include <cstddef>
 #include <deque>
@@ -20,19 +20,19 @@
 /// chats that continue after the shutdown from waiting until their prompt has been processed again.
 /// A copy needs no lease: if the target engine receives a cache twice or does not use it, its
 /// answers are the same.
-class EngineKvMover
+class KvCacheMigrator
 {
 public:
     struct Options
     {
-        EnginePort &engines;
-        EngineKnowledge &knowledge;
+        EngineClient &engines;
+        EngineTracker &tracker;
         Metrics &metrics;
         /// Concurrent copies per engine, limited because it still serves its last requests.
         int parallel = 2;
     };
 
-    explicit EngineKvMover(Options options);
+    explicit KvCacheMigrator(Options options);
 
     /// \brief Sets the inventory and begins to copy from engines that are newly marked as leaving.
     void setInventory(InventoryPtr inventory);
@@ -41,23 +41,23 @@
     std::size_t waiting() const;
 
 private:
-    struct Leave
+    struct Migration
     {
         std::deque<CachedChat> chats; ///< Sorted by descending number of tokens.
         int running = 0;
         int failures = 0; ///< Consecutive failures.
     };
 
-    void start(const Engine &engine);
-    void next(const std::string &name);
+    void startMigration(const Engine &engine);
+    void copyNext(const std::string &name);
     void copy(const std::string &name, const Engine &from, const CachedChat &chat);
-    void copied(const std::string &name, const CachedChat &chat, const Result<void> &result);
-    const Engine *engineNamed(const std::string &name) const;
-    const Engine *nextFor(std::uint64_t chatKey, const Engine &from) const;
+    void finishCopy(const std::string &name, const CachedChat &chat, const Result<void> &result);
+    const Engine *findEngine(const std::string &name) const;
+    const Engine *targetFor(std::uint64_t chatKey, const Engine &from) const;
 
     Options m_options;
     InventoryPtr m_inventory;
-    std::map<std::string, Leave> m_leaves;
+    std::map<std::string, Migration> m_migrations;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/Control/LeaseKeeper.h
+++ b/src/Control/LeaseManager.h
@@ -37,7 +37,7 @@
 /// The holder measures the duration from before it sent its write and stops a margin earlier; a
 /// contender measures it from after it read that write. Therefore neither calendar time nor
 /// synchronised clocks matter, only that monotonic clocks run at nearly the same rate.
-class LeaseKeeper
+class LeaseManager
 {
 public:
     struct Options
@@ -54,10 +54,10 @@
         Duration margin = std::chrono::seconds(2);
         /// Interval at which contenders read the row, with a jitter of half of it, so that they do
         /// not all write at once when the store becomes available again.
-        Duration takeInterval = std::chrono::seconds(5);
+        Duration acquireInterval = std::chrono::seconds(5);
     };
 
-    explicit LeaseKeeper(Options options);
+    explicit LeaseManager(Options options);
 
     /// \brief Sets whether this router should hold the lease. If not, a held lease is released.
     void setWanted(bool wanted);
@@ -88,31 +88,31 @@
         TimePoint sentAt;
     };
 
-    void look();
-    void saw(const TableRow &row);
-    void adopt(const Attempt &attempt);
+    void readRow();
+    void handleRow(const TableRow &row);
+    void adoptWrite(const Attempt &attempt);
     bool isFree() const;
-    void give();
+    void release();
     void write(std::string holder, std::uint64_t fence);
-    void wrote(const Result<TableCommit> &answer, std::uint64_t id);
-    void lose(std::string_view event);
+    void handleCommit(const Result<TableCommit> &answer, std::uint64_t id);
+    void markLost(std::string_view event);
     void scheduleAfter(Duration delay);
     Duration jittered(Duration d) const;
-    std::optional<Attempt> attemptById(std::uint64_t id) const;
+    std::optional<Attempt> findAttempt(std::uint64_t id) const;
 
     Options m_options;
     std::string m_holder; ///< Name and incarnation, so that a restarted router is another holder.
     bool m_wanted = false;
     bool m_busy = false; ///< A read or write is in progress.
     std::uint64_t m_version = 0; ///< Version of the row as last read.
-    Lease m_row; ///< Content of the row as last read.
-    TimePoint m_seenSince; ///< When the row was first read with m_version.
-    bool m_seen = false;
+    Lease m_lastRow; ///< Content of the row as last read.
+    TimePoint m_firstSeenAt; ///< When the row was first read with m_version.
+    bool m_hasRow = false;
     bool m_held = false;
-    bool m_giving = false; ///< A release was sent and may still take effect.
-    TimePoint m_until; ///< Expiry of the lease by the local clock, minus the margin.
+    bool m_releasing = false; ///< A release was sent and may still take effect.
+    TimePoint m_expiresAt; ///< Expiry of the lease by the local clock, minus the margin.
     std::uint64_t m_fenceFloor = 0;
-    Attempt m_current; ///< The write that created the row as last read, if it was ours.
+    Attempt m_currentAttempt; ///< The write that created the row as last read, if it was ours.
     std::vector<Attempt> m_attempts; ///< Later writes whose outcome is unknown, newest last.
     TimePoint m_next;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/src/Control/ReplicaRegistry.h
+++ b/src/Control/ReplicaRegistry.h
@@ -27,27 +27,29 @@
     struct Options
     {
         const Clock &clock;
-        Duration outageAfter = std::chrono::seconds(3); ///< Time without a read that is an outage.
+        Duration outageThreshold =
+                std::chrono::seconds(3); ///< Time without a read that is an outage.
         /// Time for replicas to register again whose lease expired during an outage.
-        Duration returnTime = std::chrono::milliseconds(2200);
+        Duration reregistrationTime = std::chrono::milliseconds(2200);
     };
 
     explicit ReplicaRegistry(Options options) : m_options(options) { }
 
-    /// \brief Applies \a snapshot, which was read by a call that started at \a readBegan.
-    void apply(const ReplicaSnapshot &snapshot, TimePoint readBegan);
+    /// \brief Applies \a snapshot, which was read by a call that started at \a readStartedAt.
+    void apply(const ReplicaSnapshot &snapshot, TimePoint readStartedAt);
 
-    /// \brief Applies \a update from a router that read the store at \a readBegan.
+    /// \brief Applies \a update from a router that read the store at \a readStartedAt.
     /// \returns false if it is based on a list that this registry does not have.
-    bool applyUpdate(const ReplicaUpdate &update, TimePoint readBegan);
+    bool applyUpdate(const ReplicaUpdate &update, TimePoint readStartedAt);
 
     /// \returns the changes since the list with \a hash, as of the last read of the store; the
     /// whole list if that one is no longer stored.
     ReplicaUpdate updateSince(std::uint64_t hash) const;
 
-    /// \brief Records that at \a readBegan the store had version \a storeVersion and the replicas
-    /// whose hash() is \a hash. \returns false if the list of this registry has another hash.
-    bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readBegan);
+    /// \brief Records that at \a readStartedAt the store had version \a storeVersion and the
+    /// replicas whose hash() is \a hash. \returns false if the list of this registry has another
+    /// hash.
+    bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readStartedAt);
 
     /// \brief Source of the information that a replica is leaving.
     enum class LeavingSource : std::uint8_t {
@@ -57,13 +59,13 @@
 
     /// \brief Marks the replica \a incarnation as leaving. It stays draining, whatever the state in
     /// older entries, until another process registers under its id.
-    void noteLeaving(const std::string &incarnation, LeavingSource source);
+    void markLeaving(const std::string &incarnation, LeavingSource source);
 
     /// \brief Marks the replicas at \a address, except \a id, as leaving.
-    void noteLeavingAt(const std::string &address, const std::string &id);
+    void markLeavingAt(const std::string &address, const std::string &id);
 
-    /// \returns the replicas marked by noteLeaving() within the last \a time, at most \a most.
-    std::vector<std::string> toldLeaving(Duration time, std::size_t most) const;
+    /// \returns the replicas marked by markLeaving() within the last \a time, at most \a most.
+    std::vector<std::string> recentlyLeaving(Duration time, std::size_t most) const;
 
     /// \returns a hash of the last snapshot, identical on all routers; 0 before the first.
     std::uint64_t hash() const { return m_hash; }
@@ -80,37 +82,39 @@
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
-    void noteOutage(TimePoint readBegan);
-    void take(std::vector<ReplicaRecord> list, std::uint64_t storeVersion, TimePoint readBegan);
-    void remember(std::uint64_t hash);
+    void detectOutage(TimePoint readStartedAt);
+    void replaceList(std::vector<ReplicaRecord> list, std::uint64_t storeVersion,
+                     TimePoint readStartedAt);
+    void storePreviousList(std::uint64_t hash);
     void update();
-    void applyDrained(ReplicaRecord &record);
-    void forgetDrained();
-    static bool differ(const std::vector<ReplicaRecord> &a, const std::vector<ReplicaRecord> &b);
+    void applyLeaving(ReplicaRecord &record);
+    void removeOldLeaving();
+    static bool hasChanges(const std::vector<ReplicaRecord> &a,
+                           const std::vector<ReplicaRecord> &b);
     void logChanges(const std::vector<ReplicaRecord> &next) const;
 
     Options m_options;
     /// \brief A former list, stored so that routers that still have it only get the changes.
-    struct Earlier
+    struct PreviousList
     {
         std::uint64_t hash = 0;
         std::vector<ReplicaRecord> replicas;
     };
 
     std::vector<ReplicaRecord> m_registered; ///< As in the newest snapshot.
-    std::deque<Earlier> m_earlier; ///< The newest last.
+    std::deque<PreviousList> m_previousLists; ///< The newest last.
     std::vector<ReplicaRecord> m_replicas; ///< Including those retained after an outage.
     /// \brief A replica that is leaving; this state is final.
-    struct Drained
+    struct LeavingReplica
     {
         std::string address = {}; ///< Address in its entry; empty: no entry was read.
         std::int64_t sequence = 0; ///< Highest sequence in its entry.
         TimePoint seenAt = {}; ///< When it was marked, or when its entry was last present.
-        std::optional<TimePoint> toldAt = {}; ///< When it was marked by noteLeaving() first.
-        bool isReplaced = false; ///< Another process is registered under its id now.
+        std::optional<TimePoint> reportedAt = {}; ///< When it was marked by markLeaving() first.
+        bool hasSuccessor = false; ///< Another process is registered under its id now.
     };
 
-    std::map<std::string, Drained> m_drained; ///< By incarnation.
+    std::map<std::string, LeavingReplica> m_leaving; ///< By incarnation.
     std::uint64_t m_storeVersion = 0;
     std::uint64_t m_hash = 0;
     TimePoint m_readAt = TimePoint::min();
--- a/test/ConfigInForceTest.cpp
+++ b/test/ActiveConfigTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 #include "Base/ManualClock.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct ConfigInForceFixture
+struct ActiveConfigFixture
 {
     static RouteConfigPtr revision(std::uint64_t n)
     {
@@ -18,12 +18,12 @@
     }
 
     ManualClock clock;
-    ConfigInForce config{clock};
+    ActiveConfig config{clock};
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_olderRevisionRead_isNotActivated")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_olderRevisionRead_isNotActivated")
 {
     int changes = 0;
     config.changed().connect([&](const RouteConfigPtr &) { ++changes; });
@@ -34,7 +34,7 @@
     CHECK(changes == 1);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_proof_isDatedByTheStartOfItsRead")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_proof_isDatedByTheStartOfItsRead")
 {
     CHECK(config.proofAge() == Duration::max());
     const TimePoint began = clock.now();
@@ -47,7 +47,7 @@
     CHECK(config.proofAge() == 0s);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "activeConfig_confirmationOfAnotherRevision_provesNothing")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_confirmationOfAnotherRevision_provesNothing")
 {
     config.accept(revision(7), clock.now());
     clock.advance(4s);
--- a/test/LeaseKeeperTest.cpp
+++ b/test/LeaseManagerTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/LeaseKeeper.h"
+#include "Control/LeaseManager.h"
 #include "Base/Log.h"
 #include "Base/ManualClock.h"
 #include "StepTable.h"
@@ -16,24 +16,27 @@
 
 struct LeaseFixture
 {
-    std::unique_ptr<LeaseKeeper> keeper(const char *name, std::uint64_t seed, Duration margin = 2s)
+    std::unique_ptr<LeaseManager> makeManager(const char *name, std::uint64_t seed,
+                                              Duration margin = 2s)
     {
-        auto out = std::make_unique<LeaseKeeper>(LeaseKeeper::Options{.clock = clock,
-                                                                      .random = seededRandom(seed),
-                                                                      .table = table,
-                                                                      .key = "lease/test",
-                                                                      .self = name,
-                                                                      .margin = margin});
+        auto out =
+                std::make_unique<LeaseManager>(LeaseManager::Options{.clock = clock,
+                                                                     .random = seededRandom(seed),
+                                                                     .table = table,
+                                                                     .key = "lease/test",
+                                                                     .self = name,
+                                                                     .margin = margin});
         out->setWanted(true);
         return out;
     }
 
     /// Advances the clock in small steps; every request ends with \a fate.
-    void pass(Duration time, std::initializer_list<LeaseKeeper *> awake, Fate fate = Fate::Answered)
+    void pass(Duration time, std::initializer_list<LeaseManager *> awake,
+              Fate fate = Fate::Answered)
     {
         for (Duration t{}; t < time; t += 500ms) {
             clock.advance(500ms);
-            for (LeaseKeeper *it : awake)
+            for (LeaseManager *it : awake)
                 it->poll();
             table.run(fate);
         }
@@ -41,21 +44,21 @@
 
     ManualClock clock;
     StepTable table;
-    std::unique_ptr<LeaseKeeper> a = keeper("a", 1);
-    std::unique_ptr<LeaseKeeper> b = keeper("b", 2);
+    std::unique_ptr<LeaseManager> a = makeManager("a", 1);
+    std::unique_ptr<LeaseManager> b = makeManager("b", 2);
 };
 
 /// Two contenders under a random schedule of pauses, lost and late requests. Each acts whenever it
 /// holds the lease. The engine's view is checked: fencing numbers never fall and no number has two
 /// holders.
-class RandomSchedule : LeaseFixture
+class RandomLeaseSchedule : LeaseFixture
 {
 public:
-    RandomSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
+    RandomLeaseSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
         : m_random(seededRandom(seed))
     {
-        a = keeper("a", 2 * seed, margin);
-        b = keeper("b", 2 * seed + 1, margin);
+        a = makeManager("a", 2 * seed, margin);
+        b = makeManager("b", 2 * seed + 1, margin);
         table.ignoresVersions = brokenTable;
     }
 
@@ -84,7 +87,7 @@
         else if (dice < 67)
             b->poll();
         else if (dice < 69)
-            table.landLate();
+            table.applyLate();
         else if (dice < 71)
             (below(m_random, 2) == 0 ? a : b)->setWanted(below(m_random, 4) != 0);
         else if (table.waiting() > 0)
@@ -98,7 +101,7 @@
         return below(m_random, 3) == 0 ? Faults[below(m_random, Faults.size())] : Fate::Answered;
     }
 
-    void act(int who, const LeaseKeeper &holder, int &acts)
+    void act(int who, const LeaseManager &holder, int &acts)
     {
         const auto fence = holder.fence();
         if (!fence)
@@ -115,12 +118,12 @@
     int m_last = -1;
 };
 
-int unsafeSchedules(Duration margin, bool brokenTable, int &acts)
+int countUnsafeSchedules(Duration margin, bool brokenTable, int &acts)
 {
     Log::setLevel(LogLevel::Error);
     int out = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed)
-        out += RandomSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
+        out += RandomLeaseSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
     Log::setLevel(LogLevel::Info);
     return out;
 }
@@ -191,7 +194,7 @@
 TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isAnotherHolder")
 {
     pass(10s, {a.get()});
-    a = keeper("a", 77);
+    a = makeManager("a", 77);
     pass(20s, {a.get()});
     CHECK_FALSE(a->fence());
     pass(40s, {a.get()});
@@ -208,7 +211,7 @@
     table.step(0, Fate::Late);
     a->setWanted(true);
     CHECK_FALSE(a->fence());
-    table.landLate();
+    table.applyLate();
     pass(16s, {b.get()});
     CHECK(b->fence() == 2u);
     CHECK_FALSE(a->fence());
@@ -217,13 +220,13 @@
 TEST_CASE("lease_randomSchedules_neverTwoHoldersOrFallingNumbers")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(2s, false, acts) == 0);
+    CHECK(countUnsafeSchedules(2s, false, acts) == 0);
     CHECK(acts > 10'000); // Fewer actions would make the check meaningless.
 }
 
 TEST_CASE("lease_injectedViolations_areDetectedByTheSameSchedules")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(-30s, false, acts) > 0); // The holder acts after the expiry.
-    CHECK(unsafeSchedules(2s, true, acts) > 0); // The compare-and-set does not compare.
+    CHECK(countUnsafeSchedules(-30s, false, acts) > 0); // The holder acts after the expiry.
+    CHECK(countUnsafeSchedules(2s, true, acts) > 0); // The compare-and-set does not compare.
 }
