--- a/src/Control/ReplicaRegistry.h
+++ b/src/Control/ReplicaRegistry.h
@@ -27,8 +27,8 @@
     struct Options
     {
         const Clock &clock;
-        Duration outageThreshold =
-                std::chrono::seconds(3); ///< Time without a read that is an outage.
+        /// Time without a read of the store after which it counts as an outage.
+        Duration outageThreshold = std::chrono::seconds(3);
         /// Time for replicas to register again whose lease expired during an outage.
         Duration reregistrationTime = std::chrono::milliseconds(2200);
     };
@@ -47,8 +47,8 @@
     ReplicaUpdate updateSince(std::uint64_t hash) const;
 
     /// \brief Records that at \a readStartedAt the store had version \a storeVersion and the
-    /// replicas whose hash() is \a hash. \returns false if the list of this registry has another
-    /// hash.
+    /// replicas whose hash() is \a hash.
+    /// \returns false if the list of this registry has another hash.
     bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readStartedAt);
 
     /// \brief Source of the information that a replica is leaving.
