--- a/test/LeaseManagerTest.cpp
+++ b/test/LeaseManagerTest.cpp
@@ -30,7 +30,7 @@
         return out;
     }
 
-    /// Lets time pass in small steps, with every request meeting \a fate.
+    /// Advances the clock in small steps; every request ends with \a fate.
     void pass(Duration time, std::initializer_list<LeaseManager *> awake,
               Fate fate = Fate::Answered)
     {
@@ -48,8 +48,9 @@
     std::unique_ptr<LeaseManager> b = makeManager("b", 2);
 };
 
-/// Two holders under a random schedule of pauses, lost and late requests. Each acts whenever it may
-/// and the engine's side of the story is checked: numbers never fall and none has two holders.
+/// Two contenders under a random schedule of pauses, lost and late requests. Each acts whenever it
+/// holds the lease. The engine's view is checked: fencing numbers never fall and no number has two
+/// holders.
 class RandomLeaseSchedule : LeaseFixture
 {
 public:
@@ -61,7 +62,7 @@
         table.ignoresVersions = brokenTable;
     }
 
-    /// \returns whether the rules held; how often a holder acted is added to \a acts.
+    /// \returns whether no violation was found; adds the number of actions to \a acts.
     bool run(int &acts)
     {
         for (int i = 0; i < 1500 && m_isSafe; ++i) {
@@ -129,16 +130,16 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsUnderOneNumber")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsWithTheSameNumber")
 {
     pass(300s, {a.get(), b.get()});
     CHECK(a->fence().has_value() != b->fence().has_value());
     CHECK((a->fence() ? a : b)->fence() == 1u);
-    // One taking and a renewal every 15 s, 20 at most: what the capacity page counts with.
+    // One acquisition and a renewal every 15 s, 20 at most, as the capacity planning assumes.
     CHECK(table.writes() <= 21);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsEnd_mayNotActThoughItHeardNothing")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsExpiry_hasNoFencingNumber")
 {
     pass(10s, {a.get()});
     REQUIRE(a->fence() == 1u);
@@ -151,7 +152,7 @@
     CHECK_FALSE(confirmed);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfTaking_isSettledByReadingBack")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfAcquisition_isResolvedByReadingTheRow")
 {
     clock.advance(10s);
     a->poll();
@@ -162,7 +163,7 @@
     CHECK(a->fence() == 1u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_keepsUntilExpiryThenStopsAndTakesAnewOnReturn")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_isHeldUntilExpiryAndAcquiredAnewAfterTheOutage")
 {
     pass(10s, {a.get()});
     pass(25s, {a.get()}, Fate::LostRequest);
@@ -173,7 +174,7 @@
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givenBack_isTakenWithoutWaitingForItsEnd")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_released_isAcquiredWithoutWaitingForItsExpiry")
 {
     pass(10s, {a.get()});
     a->setWanted(false);
@@ -182,8 +183,7 @@
     CHECK(b->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture,
-                  "lease_engineSawHigherNumber_numberRisesAboveItWithoutLosingTheLease")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_engineReceivedHigherNumber_numberRisesWithoutLosingTheLease")
 {
     pass(10s, {a.get()});
     a->raiseFence(41);
@@ -191,7 +191,7 @@
     CHECK(a->fence() == 42u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isNotTheOldHolder")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isAnotherHolder")
 {
     pass(10s, {a.get()});
     a = makeManager("a", 77);
@@ -201,9 +201,10 @@
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givingBackStillUnderWay_isNotHeldWhenWantedAgain")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_releaseInFlight_isNotHeldWhenWantedAgain")
 {
-    // Found by the random schedules: the giving back landed while its sender held on again.
+    // Guards against a release that takes effect after its sender wants the lease again and
+    // considers it held.
     pass(10s, {a.get()});
     a->setWanted(false);
     a->poll();
@@ -216,16 +217,16 @@
     CHECK_FALSE(a->fence());
 }
 
-TEST_CASE("lease_randomSchedules_neverTwoHoldersNorFallingNumbers")
+TEST_CASE("lease_randomSchedules_neverTwoHoldersOrFallingNumbers")
 {
     int acts = 0;
     CHECK(countUnsafeSchedules(2s, false, acts) == 0);
-    CHECK(acts > 10'000); // Else the schedules would prove nothing.
+    CHECK(acts > 10'000); // Fewer actions would make the check meaningless.
 }
 
-TEST_CASE("lease_rulesBrokenOnPurpose_areCaughtByTheSameSchedules")
+TEST_CASE("lease_injectedViolations_areDetectedByTheSameSchedules")
 {
     int acts = 0;
-    CHECK(countUnsafeSchedules(-30s, false, acts) > 0); // Acts on after the end.
-    CHECK(countUnsafeSchedules(2s, true, acts) > 0); // A compare-and-set that does not compare.
+    CHECK(countUnsafeSchedules(-30s, false, acts) > 0); // The holder acts after the expiry.
+    CHECK(countUnsafeSchedules(2s, true, acts) > 0); // The compare-and-set does not compare.
 }
