--- a/src/Decide/ConcurrencyLimit.h
+++ b/src/Decide/ConcurrencyLimit.h
@@ -6,17 +6,17 @@
 
 namespace catkinloft {
 
-/// \brief How many requests one upstream takes at a time: additive increase, multiplicative
-/// decrease, never above what the inventory states.
+/// \brief Adaptive limit of the requests in progress on one upstream, with additive increase and
+/// multiplicative decrease (AIMD). It never exceeds the slots stated in the inventory.
 ///
-/// Load: an upstream that is slower than its inventory entry says. Harm prevented: work that waits
-/// inside the upstream can be neither ordered by workspace nor refused in time.
+/// Handles an upstream that is slower than its inventory entry states. Prevents that requests wait
+/// inside the upstream, where they can neither be ordered by workspace nor be refused in time.
 class ConcurrencyLimit
 {
 public:
     void setMost(int slots)
     {
-        // An upstream starts at its stated slots: the inventory is right until an overload shows.
+        // The slots stated in the inventory are used until an overload is observed.
         if (m_most == 0)
             m_limit = slots;
         m_most = slots;
@@ -38,7 +38,7 @@
     }
 
 private:
-    // Gentle enough that the failures of one batch of requests leave a limit above 1.
+    // Small enough a decrease that the failures of one batch of requests leave a limit above 1.
     static constexpr double Decrease = 0.9;
 
     int m_most = 0;
--- a/src/Decide/CrashRecord.cpp
+++ b/src/Decide/CrashRecord.cpp
@@ -13,7 +13,7 @@
             m_ends.insert(std::upper_bound(m_ends.begin(), m_ends.end(), end, before), end);
     if (m_ends.size() <= MaxEnds)
         return true;
-    // The newest stays, since it decides how long the request is held back.
+    // The last crash is kept because it determines how long the request is held back.
     const auto dropped = m_ends.end() - 2;
     const bool changed = place != dropped;
     m_ends.erase(dropped);
--- a/src/Decide/CrashRecord.h
+++ b/src/Decide/CrashRecord.h
@@ -10,57 +10,60 @@
 
 namespace catkinloft {
 
-/// \brief The end of a replica's process while it worked on a request.
+/// \brief A replica process that terminated while it worked on a request.
 struct ReplicaEnd
 {
-    std::string replica = {}; ///< Its incarnation.
+    std::string replica = {}; ///< Incarnation of the replica.
     std::string software = {}; ///< \sa ReplicaRecord::software
     TimePoint at = {};
 };
 
-/// \brief The replicas that ended while one request ran on them, since a run of it last completed.
+/// \brief The replicas that crashed while they ran one request, after its last completed run.
 ///
-/// Records of several routers merge: the result depends neither on the order in which they come nor
-/// on how often one does.
+/// Records of several routers can be merged. The merge is commutative and idempotent, so records
+/// may arrive in any order and more than once.
 class CrashRecord
 {
 public:
-    /// Ends that one record keeps: the oldest, and the newest.
+    /// Maximum number of stored crashes. A full record keeps the oldest ones and the latest one.
     static constexpr std::size_t MaxEnds = 8;
 
-    /// Ends that follow each other more closely are one piece of evidence: a rack that is lost
-    /// takes several replicas, with all that ran on them, at one moment.
+    /// Crashes that follow each other within this time belong to one incident, because the loss of
+    /// a rack terminates several replicas, with all requests that run on them, at the same time.
     static constexpr Duration MomentGap = std::chrono::milliseconds(100);
 
-    /// Longest moment: a request that comes without pause ends replicas without pause.
+    /// Maximum duration of one incident. Without it, a fatal request that is sent without pause
+    /// would crash replicas in close succession and count as a single incident.
     static constexpr Duration MaxMoment = std::chrono::milliseconds(500);
 
-    /// \brief Adds \a end. \returns whether the record changed.
+    /// \brief Adds the crash \a end.
+    /// \returns whether the record changed.
     bool add(const ReplicaEnd &end);
 
-    /// \brief Notes that a run completed at \a at, which voids the ends before it.
+    /// \brief Records that a run completed at \a at, and removes all crashes up to that time.
     /// \returns whether the record changed.
     bool clear(TimePoint at);
 
-    /// \brief Adds all that \a other holds. \returns whether this record changed.
+    /// \brief Adds the content of \a other.
+    /// \returns whether this record changed.
     bool merge(const CrashRecord &other);
 
-    /// \returns at how many moments replicas ended, counting the ends that \a counts.
+    /// \returns the number of incidents among the crashes for which \a counts returns true.
     int moments(const std::function<bool(const ReplicaEnd &)> &counts) const;
 
-    /// \returns whether \a replica is among those that ended.
+    /// \returns whether the record contains a crash of \a replica.
     bool has(std::string_view replica) const;
 
-    /// \returns whether a replica ended that ran \a software.
+    /// \returns whether the record contains a crash of a replica that ran \a software.
     bool hasSoftware(std::string_view software) const;
 
-    /// \returns the ends in order of time.
+    /// \returns the crashes, oldest first.
     std::span<const ReplicaEnd> ends() const { return m_ends; }
 
-    /// \returns when a run completed last; TimePoint::min(): none is known.
+    /// \returns when a run last completed; TimePoint::min() if no completed run is known.
     TimePoint clearedAt() const { return m_clearedAt; }
 
-    /// \returns when something was learned last.
+    /// \returns the time of the last crash or completed run; TimePoint::min() if there is none.
     TimePoint newest() const;
 
 private:
--- a/src/Decide/Decide.h
+++ b/src/Decide/Decide.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief Module Decide: what is decided under load, without sockets, threads or time of its own.
+/// \brief Module Decide: admission, placement, health and quarantine decisions. Uses no sockets,
+/// threads or system clock.
 
 #include "Decide/AdmissionQueue.h" // IWYU pragma: export
 #include "Decide/ChatOrder.h" // IWYU pragma: export
--- a/src/Decide/OwnerGroups.h
+++ b/src/Decide/OwnerGroups.h
@@ -7,23 +7,27 @@
 
 namespace catkinloft {
 
-/// \brief Divides the upstreams of a pool into groups, of each of which one router keeps the count.
+/// \brief Divides the upstreams of a pool into groups, each of which is owned by one router that
+/// counts its load.
 ///
-/// Load: a pool of any size before any number of routers. Harm prevented: with an owner an engine,
-/// what was over the bound went to an engine whose load the owner knew a second late only, and one
-/// placement in ten broke the bound. The number of groups follows the size of the pool in the
-/// inventory, not who is live; a change of it moves counts to other routers, never chats.
+/// Handles pools of any size behind any number of routers. Prevents that jobs over the load bound go
+/// to engines whose load is only known from reports that are one second old: with one owner per
+/// engine, one placement in ten exceeded the bound. The number of groups depends on the size of the
+/// pool in the inventory and not on the live upstreams. A change of it moves the ownership of
+/// upstreams to other routers, but never moves chats to other upstreams.
 ///
-/// Used by whoever places and by whoever answers which router to use, so that both name the same.
+/// Placement and the lookup of the router for a chat both use this class, so that they name the
+/// same owner.
 class OwnerGroups
 {
 public:
-    /// Sixteen make the count exact for the whole of today's pools, and at full size leave each
-    /// router one group of some eleven.
+    /// A pool of up to 16 upstreams has a single owner, so that its load is counted exactly. In the
+    /// largest pools each router still owns only one group of about 11 upstreams.
     static constexpr int UsualSize = 16;
 
-    /// \param pool hash of the pool's name, which gives pools of one group different owners.
-    /// \param upstreams in the pool. \param size upstreams of a group, about; 1: each its own.
+    /// \param pool hash of the pool's name, so that pools with a single group get different owners.
+    /// \param upstreams number of upstreams in the pool.
+    /// \param size maximum average number of upstreams in a group; 1: each upstream is a group.
     OwnerGroups(std::uint64_t pool, std::size_t upstreams, int size = UsualSize)
         : m_pool(pool), m_single(size == 1)
     {
@@ -31,7 +35,7 @@
             ++m_bits;
     }
 
-    /// \returns the group of the upstream whose name hashes to \a upstream.
+    /// \returns the group of the upstream whose name has the hash \a upstream.
     std::uint64_t of(std::uint64_t upstream) const
     {
         if (m_single)
--- a/src/Decide/Refusal.cpp
+++ b/src/Decide/Refusal.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t MacBytes = 16; ///< Half of HMAC-SHA-256 is ample against forgery.
+constexpr std::size_t MacBytes = 16; ///< 128 bits of HMAC-SHA-256 are sufficient against forgery.
 
 std::string toJson(const Refusal &refusal)
 {
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -17,52 +17,54 @@
 
 constexpr Duration MaxHoldTime = 2h;
 
-/// All that runs on a replica breaks within milliseconds of its end; routers tell each other ages,
-/// which are off by the time on the way.
+/// Connections to a replica break within milliseconds of its crash. The rest allows for the network
+/// delay, which makes the ages in updates inaccurate.
 constexpr Duration EndSpread = 250ms;
 
-/// How long a request that is not held back stays suspect after its last end.
+/// How long a request that is not held back stays suspected after its last crash.
 constexpr Duration SuspicionLife = 10min;
 
-/// How long a router remembers that a request was cleared, for those that lack the news.
+/// How long a router remembers that a request was cleared, to inform routers that missed the update.
 constexpr Duration ClearedLife = 30s;
 
-/// A record that was cleared so lately is not brought up to date: a request that many send
-/// completes many times a second.
+/// A record that was cleared less than this time ago is not updated, because a request that many
+/// callers send completes many times per second.
 constexpr Duration ClearedStep = 500ms;
 
-/// Time for the news of other routers to come: a request that shares the ends may have more of
-/// them.
+/// Time for the updates of other routers to arrive. They may show that another request which shares
+/// the crashes has more incidents.
 constexpr Duration SettleTime = 200ms;
 
-/// Between the trials of two routers: the second hears how that of the first went.
+/// Average time between the trials of two routers, so that the second router receives the outcome of
+/// the first trial.
 constexpr Duration TrialSpacing = 2s;
 
-/// Longest trial that keeps others of the same router waiting.
+/// Time after which a router may start another trial although the previous one has no outcome.
 constexpr Duration TrialTime = 5s;
 
-/// Messages that carry a piece of news: the first to the routers that come next, the others for
-/// datagrams that are lost. Each router that learns it passes it on.
+/// Number of messages that carry an update for all routers: the first one delivers it to the next
+/// routers, the others compensate for lost datagrams. Each router that learns it forwards it.
 constexpr int Tellings = 3;
 
-/// The same to the keepers of a request's evidence.
+/// Number of messages that carry an update to the routers that hold the evidence of a request.
 constexpr int KeeperTellings = 2;
 
-/// How often one of the requests that are held back is told again, for routers that started or were
-/// cut off. They hear it from all others in turn.
+/// How often one of the held requests is announced again, for routers that started or were cut off.
+/// All other routers do so, one request at a time.
 constexpr Duration RepeatInterval = 2s;
 
-/// Of one message, which has to fit a datagram beside what else it carries: some 500 bytes.
+/// Limits of one message. About 500 bytes, so that it fits into one datagram with its other content.
 constexpr std::size_t MaxToldRecords = 8;
 constexpr std::size_t MaxToldEnds = 8;
 
-/// Requests whose first end is told at once; more only run on a replica with as many places.
+/// Maximum number of first incidents that takeFirstEnds() returns in one call. One crash
+/// only causes more when the replica ran more requests than this at the same time.
 constexpr std::size_t MaxToldFirstEnds = 64;
 
-/// Nothing is remembered for so long; what is told as older is a mistake.
+/// No router remembers a crash for this long, so an update with a higher age is invalid.
 constexpr Duration MaxToldAge = 24h;
 
-/// Part of the records that is dropped at once when there are too many.
+/// When there are too many records, one in this many is dropped.
 constexpr std::size_t DroppedPart = 4;
 
 void logRelease(std::string_view fingerprint, std::string_view cause)
@@ -201,7 +203,9 @@
     }
 }
 
-/// What broke later was sent to a replica that had ended, behind a proxy that still listens.
+/// \returns whether the replica was still running when the request was sent. One that is
+/// recorded more than EndSpread after the first crash of this incarnation comes from a request that
+/// was sent to the crashed replica, behind a proxy that still accepted connections.
 bool RequestQuarantine::wasRunning(const ReplicaEnd &end) const
 {
     const auto first = m_firstEnds.find(end.replica);
@@ -220,7 +224,7 @@
 {
     noteFirstEnds(entry.record);
     count(entry);
-    // Others are only concerned by a request that is, or was, held back.
+    // Only a request that is held back, or could be, affects the state of others.
     if (entry.isHeld || entry.moments >= MinMoments)
         decide();
 }
@@ -251,8 +255,9 @@
         count(entry);
 }
 
-/// \returns whether another request has as many of the same ends, so that the next one has to tell.
-/// If both go on to share them, the order of decide() does.
+/// \returns whether another request shares crashes with \a entry and has at least as many incidents,
+/// so that only the next crash can show which one is the cause. With more than MinMoments incidents
+/// the request that comes first in the order of decide() is held back.
 bool RequestQuarantine::isUndecided(const Entry &entry,
                                     std::span<Records::value_type *const> suspects) const
 {
@@ -285,7 +290,7 @@
     else
         logRelease(fingerprint,
                    entry.record.ends().empty() ? "a run completed"
-                                               : "another request explains the ends");
+                                               : "another held request explains the crashes");
 }
 
 RequestQuarantine::Entry &RequestQuarantine::entryOf(const std::string &fingerprint)
@@ -323,7 +328,7 @@
     const std::size_t forgotten = std::erase_if(m_records, [&](const auto &it) {
         const bool isOld = now - it.second.record.newest() > lifetime(it.second);
         if (isOld && it.second.isHeld)
-            logRelease(it.first, "nobody has sent it for long");
+            logRelease(it.first, "no crash within twice the hold time");
         return isOld;
     });
     if (forgotten == 0)
@@ -345,7 +350,8 @@
             update(entry);
             spread(entry, false);
         } else if (!told.ends().empty() && told.clearedAt() < entry.record.clearedAt()) {
-            entry.toTell = std::max(entry.toTell, 1); // The sender lacks that it was cleared.
+            // The sender does not know yet that the request was cleared.
+            entry.toTell = std::max(entry.toTell, 1);
         }
     }
 }
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -16,128 +16,136 @@
 
 namespace catkinloft {
 
-/// \brief What one router tells the others of a request that may end replicas. Times are ages,
-/// since clocks of routers differ.
+/// \brief What one router announces to the others about a request that may crash replicas. Times
+/// are sent as ages because the clocks of routers differ.
 struct CrashNews
 {
     struct End
     {
-        std::string replica = {}; ///< Its incarnation.
+        std::string replica = {}; ///< Incarnation of the replica.
         std::string software = {}; ///< \sa ReplicaRecord::software
         Duration age = Duration::zero();
     };
 
     std::string fingerprint = {}; ///< Of the request.
-    std::optional<Duration> clearedAge = {}; ///< Since a run of it completed last.
+    std::optional<Duration> clearedAge = {}; ///< Time after the last completed run, if any.
     std::vector<End> ends = {};
 };
 
-/// \brief Holds back requests that end the replicas that run them, whichever router they come to.
+/// \brief Holds back requests that crash the replicas that run them, at every router of the fleet.
 ///
-/// Load: a request whose input crashes the software that runs it, sent again and again beside the
-/// usual traffic. Harm prevented: each of its runs takes a replica away for seconds, with all that
-/// ran there, until the service has none left.
+/// Handles a request whose input crashes the software that runs it and that is sent repeatedly
+/// among the usual traffic. Prevents that each of its runs makes a replica unavailable for seconds,
+/// together with all other requests on it, until the service has no replica left.
 ///
-/// All that was in progress on a replica when it ended is suspect, and most of it is innocent.
-/// Three things tell them apart. A run that completes clears its request, and what many callers
-/// send completes all the time. Ends at one moment count once, so that a rack that is lost makes
-/// nobody a culprit. And where two requests share the ends, only the one with more of them is held
-/// back, and only once the news of other routers can be there; one that was held back wrongly is
-/// released when the other gets ahead.
+/// Every request in progress on a crashed replica is suspected, although most of them are harmless.
+/// Three rules separate them:
+/// - A completed run clears its request. Harmless requests that many callers send complete often.
+/// - Crashes that occur close in time count as one incident, so that the loss of a rack does not
+///   cause any request to be held back.
+/// - If two requests share crashes, only the one with more incidents is held back, and only after
+///   the updates of other routers had time to arrive. A request that was wrongly held back is
+///   released when another request has more incidents.
 ///
-/// Evidence is told between routers, who merge it; each decides for itself. A first end is only
-/// told to the few routers that keep the evidence of a request, since a rack that is lost makes
-/// tens of thousands suspect. From the second moment on all hear of it, and pass it on. Memory and
-/// bytes a message are bounded: what is suspected more goes first.
+/// Routers announce evidence to each other and merge it; each router decides independently. The
+/// evidence of a first incident goes only to the few routers that hold the evidence of the request,
+/// because the loss of a rack makes tens of thousands of requests suspected. After a second
+/// incident the evidence goes to all routers, which forward it. Memory and message size are
+/// bounded; requests with more incidents have priority.
 class RequestQuarantine
 {
 public:
-    /// Moments at which replicas ended under a request before it is held back. Two happen to an
-    /// innocent request that was sent again after the first.
+    /// Number of incidents after which a request is held back. Two incidents also happen to a
+    /// harmless request that was retried after the first one.
     static constexpr int MinMoments = 3;
 
-    /// How long a request is held back after the last end, at first. Doubles with each further end.
+    /// How long a request is held back after its last crash when it has MinMoments incidents. The
+    /// time doubles with each further incident.
     static constexpr Duration HoldTime = std::chrono::minutes(10);
 
     struct Options
     {
         const Clock &clock;
         RandomSource random;
-        /// Routers that may each try the request once its time is over; they take turns.
+        /// Returns the number of routers that may each try the request after its hold time. Their
+        /// trials are spread over time.
         std::function<int()> routers = [] { return 1; };
-        /// The other routers should hear the news at once.
+        /// Called when updates should be announced to the other routers at once.
         std::function<void()> hasNews = {};
-        std::size_t maxRecords = 4096; ///< Requests that are remembered.
+        std::size_t maxRecords = 4096; ///< Maximum number of stored requests.
     };
 
-    /// \brief Why a request is held back.
+    /// \brief The evidence and the remaining time of a request that is held back.
     struct Hold
     {
         std::string fingerprint = {};
-        std::vector<std::string> replicas = {}; ///< Incarnations that ended under it.
-        std::vector<std::string> software = {}; ///< That they ran.
-        Duration remaining = Duration::zero(); ///< Until it may be tried again.
+        std::vector<std::string> replicas = {}; ///< Incarnations that crashed while running it.
+        std::vector<std::string> software = {}; ///< Software of these replicas.
+        Duration remaining = Duration::zero(); ///< Time until the next trial is allowed.
     };
 
     explicit RequestQuarantine(Options options) : m_options(std::move(options)) { }
 
-    /// \returns whether nothing is suspected, so that no fingerprint is needed.
+    /// \returns whether no request is stored, in which case no fingerprint has to be computed.
     bool isEmpty() const { return m_records.empty(); }
 
-    /// \returns whether request \a fingerprint is held back, so that admit() has to be asked.
+    /// \returns whether request \a fingerprint is held back, in which case admit() must be called
+    /// before the request is sent.
     bool isHeld(const std::string &fingerprint) const;
 
-    /// \brief Asks whether request \a fingerprint may be sent to a replica now.
+    /// \brief Checks whether request \a fingerprint may be sent to a replica now.
     ///
-    /// Once its time is over, or no replica runs the software that it ended, a router lets
-    /// it through once at a time to see whether it still does harm.
+    /// After the hold time, or when no replica runs the software that crashed, the router admits
+    /// one run at a time as a trial that shows whether the request still crashes replicas.
     ///
-    /// \param software that the replicas run which could get it.
-    /// \returns nothing where it may be sent.
+    /// \param software that is run by the replicas which could receive the request.
+    /// \returns std::nullopt if the request may be sent, otherwise why and how long it is held.
     std::optional<Hold> admit(const std::string &fingerprint,
                               std::span<const std::string> software);
 
-    /// \brief Notes that a replica ended while it worked on request \a fingerprint.
+    /// \brief Records that \a replica, which ran \a software, crashed while it worked on request
+    /// \a fingerprint.
     void replicaEnded(const std::string &fingerprint, const std::string &replica,
                       const std::string &software);
 
-    /// \brief Notes that a run of request \a fingerprint completed.
+    /// \brief Records that a run of request \a fingerprint completed, which clears the request.
     void completed(const std::string &fingerprint);
 
-    /// \returns at how many moments replicas ended under it for which no other request is held
-    /// back.
+    /// \returns the number of incidents of request \a fingerprint. If the request is not held back,
+    /// incidents that another held request explains are not included.
     int suspicion(const std::string &fingerprint) const;
 
-    /// \brief Takes over what another router told.
+    /// \brief Merges the updates that another router sent.
     void merge(std::span<const CrashNews> news);
 
-    /// \returns what the next message to other routers has to tell all of them.
+    /// \returns the updates that the next message to all other routers has to carry, and counts
+    /// them as sent.
     std::vector<CrashNews> takeNews();
 
-    /// \returns what is to be told to the keepers of the evidence of each request. Nobody else
-    /// needs to hear that one replica ended under it.
+    /// \returns the updates about requests with a single incident, and counts them as sent. Each
+    /// goes only to the routers that hold the evidence of its request.
     std::vector<CrashNews> takeFirstEnds();
 
     /// \returns all requests that are held back.
     std::vector<Hold> held() const;
 
-    /// \returns requests that are suspect or held back.
+    /// \returns the number of stored requests: suspected, held back or recently cleared.
     std::size_t size() const { return m_records.size(); }
 
 private:
     struct Entry
     {
         CrashRecord record = {};
-        int moments = 0; ///< At which replicas ended under it.
-        int unexplained = 0; ///< Of these, without those that a request held back explains.
+        int moments = 0; ///< Number of incidents.
+        int unexplained = 0; ///< Incidents that no held request explains.
         bool isHeld = false;
-        TimePoint heldAt = {}; ///< Since when.
-        bool concernsAll = false; ///< Replicas ended under it at two moments or more.
-        int toTell = 0; ///< Messages that still have to carry it.
+        TimePoint heldAt = {}; ///< When it was last put on hold.
+        bool concernsAll = false; ///< Has had at least two incidents, so that all routers need it.
+        int toTell = 0; ///< Number of messages that still have to carry it.
         TimePoint toldAt = {};
-        double turn = 0; ///< Of this router among those that try it again, from 0 to 1.
-        std::optional<TimePoint> softwareGoneAt = {}; ///< No replica runs what it ended.
-        TimePoint triedUntil = TimePoint::min(); ///< A trial is in progress here.
+        double turn = 0; ///< Random share of the maximum trial delay, from 0 to 1.
+        std::optional<TimePoint> softwareGoneAt = {}; ///< Since when no replica runs that software.
+        TimePoint triedUntil = TimePoint::min(); ///< When the running trial times out.
     };
     using Records = std::unordered_map<std::string, Entry>;
 
@@ -164,10 +172,10 @@
 
     Options m_options;
     Records m_records; ///< By fingerprint.
-    std::set<std::string, std::less<>> m_explained; ///< Replicas that held requests have ended.
-    /// When each replica ended, by its incarnation, as the first router saw it.
+    std::set<std::string, std::less<>> m_explained; ///< Replicas that held requests crashed.
+    /// When each replica crashed, by incarnation: the earliest time that any router observed.
     std::unordered_map<std::string, TimePoint> m_firstEnds;
-    TimePoint m_repeatedAt = TimePoint::min(); ///< What all know was told again.
+    TimePoint m_repeatedAt = TimePoint::min(); ///< When reannounceOne() last chose a request.
 };
 
 } // namespace catkinloft
--- a/src/Decide/RetryBudget.h
+++ b/src/Decide/RetryBudget.h
@@ -4,20 +4,21 @@
 
 namespace catkinloft {
 
-/// \brief Allows retries as a share of first attempts.
+/// \brief Limits retries to a share of the first attempts.
 ///
-/// Load: an upstream that fails many requests at once. Harm prevented: unlimited retries multiply
-/// the traffic just when the pool is weakest; a budget for all of the pool's traffic bounds the
-/// sum, where a limit a call would not.
+/// Handles an upstream that fails many requests at once. Prevents that unlimited retries multiply
+/// the traffic while the pool has the least capacity. The budget covers the whole traffic of the
+/// pool, because a limit per request would not bound the total.
 class RetryBudget
 {
 public:
-    /// \brief Takes over `rules.retry_share`.
+    /// \brief Sets the number of retries per first attempt, from `rules.retry_share`.
     void setShare(double share) { m_share = share; }
 
     void recordFirstAttempt() { m_tokens = std::min(m_tokens + m_share, Reserve); }
 
-    /// \returns whether one retry is allowed, and counts it.
+    /// \brief Takes one retry from the budget.
+    /// \returns whether the retry is allowed.
     bool tryRetry()
     {
         if (m_share <= 0 || m_tokens < 1)
@@ -29,8 +30,8 @@
     double tokens() const { return m_tokens; }
 
 private:
-    // Enough for the requests in progress on one crashed engine of a quiet pool; more would allow a
-    // burst of retries after a long quiet time.
+    // Enough for the requests in progress on one crashed engine of a pool with little traffic. A
+    // higher value would allow a burst of retries after a long time without failures.
     static constexpr double Reserve = 32;
 
     double m_share = 0.1;
--- a/src/Decide/RouterView.h
+++ b/src/Decide/RouterView.h
@@ -5,7 +5,7 @@
 
 namespace catkinloft {
 
-/// \brief A router as the decisions see it; a hint that may be late or wrong.
+/// \brief The properties of a router that the decisions use. They may be outdated or wrong.
 struct RouterView
 {
     std::string name = {};
@@ -13,7 +13,7 @@
     std::string peerAddress = {}; ///< `ip:port`.
     std::string failureDomain = {};
     bool leaving = false;
-    double load = 0; ///< Requests in progress, as last heard.
+    double load = 0; ///< Requests in progress, as last received.
 };
 
 } // namespace catkinloft
