--- a/src/Decide/AdmissionQueue.cpp
+++ b/src/Decide/AdmissionQueue.cpp
@@ -12,14 +12,16 @@
 
 using namespace std::chrono_literals;
 
-/// Shares of the two classes while both wait; the smaller bounds how much the rest can be slowed.
+/// Shares of the protected and the other workspaces while both wait. The smaller share bounds how
+/// much the other workspaces can be slowed down.
 constexpr std::array ClassWeights = {4.0, 1.0};
 
-/// A router's queue over all workspaces, in queues of one workspace. A longer one would only hold
-/// requests that the sojourn limit refuses later.
+/// Maximum length of the queue over all workspaces, as a multiple of `rules.queue_length`. A longer
+/// queue would only hold requests that later expire by `rules.queue_sojourn`.
 constexpr std::size_t QueuesAtOnce = 8;
 
-/// A hint under it would have callers knock in vain; over it, they would miss freed capacity.
+/// Bounds of Retry-After. A shorter time would cause retries that are refused again; after a longer
+/// time, callers would leave freed capacity unused.
 constexpr Duration MinHint = 100ms;
 constexpr Duration MaxHint = 30s;
 
@@ -37,7 +39,8 @@
 {
     Flow &flow = m_flows[workspace];
     if (flow.jobs.empty()) {
-        // Only an idle flow may change its class: a waiting one is filed under the old.
+        // Only an idle flow may change its class, because a flow with jobs is stored in its old
+        // class.
         const Workspace *found = m_inventory ? m_inventory->workspace(workspace) : nullptr;
         flow.workspace = workspace;
         flow.weight = found ? found->weight : 1;
@@ -54,7 +57,7 @@
         Error error = fullError(flow);
         return std::pair(std::move(entry), std::move(error));
     }
-    // Half of the time left stays for the caller to go elsewhere after a refusal.
+    // Half of the remaining time is left to the caller for another attempt after a refusal.
     entry.since = now;
     entry.limit = now + std::min(rules().queueSojourn, (entry.job.deadline - now) / 2);
     Class &group = classOf(flow);
@@ -86,8 +89,9 @@
                         {"queue_length", static_cast<double>(rules().queueLength)}}};
 }
 
-/// Load: many workspaces surge at once. Whoever waits with most for its weight loses its newest
-/// job; protected workspaces lose one only where nobody else waits.
+/// Handles surges of many workspaces at once. Removes the last job of the workspace whose queue is
+/// longest in relation to its weight. Protected workspaces lose a job only if no other workspace
+/// has jobs in the queue.
 std::pair<AdmissionQueue::Entry, Error> AdmissionQueue::shed()
 {
     Flow *victim = nullptr;
@@ -103,12 +107,14 @@
             break;
     }
     const std::size_t waiting = size();
-    Error error{.reason = Reason::ShedByRule,
-                .detail = "the workspace with most waiting for its weight gives way",
-                .retryAfter = expectedWait(victim->jobs.size()),
-                .rule = "workspaces.protected",
-                .figures = {{"waiting_requests", static_cast<double>(waiting)},
-                            {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
+    Error error{
+            .reason = Reason::ShedByRule,
+            .detail = "the queue is full and this workspace has the most waiting requests for its "
+                      "weight",
+            .retryAfter = expectedWait(victim->jobs.size()),
+            .rule = "workspaces.protected",
+            .figures = {{"waiting_requests", static_cast<double>(waiting)},
+                        {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
     return {takeOut(*victim, std::prev(victim->jobs.end())), std::move(error)};
 }
 
@@ -152,8 +158,8 @@
         return out;
     Class &group = classOf(flow);
     group.flows.erase({flow.start, flow.workspace});
-    // An idle flow that is behind the class's time starts from there again, so forgetting it
-    // changes nothing and keeps 3,600 workspaces from piling up.
+    // An idle flow that is behind the virtual time of its class restarts at that time. Erasing it
+    // does not change the order and bounds the memory when there are thousands of workspaces.
     if (flow.start <= group.virtualTime || empty())
         m_flows.erase(flow.workspace);
     return out;
@@ -188,7 +194,8 @@
 
 Duration AdmissionQueue::expectedWait(std::size_t jobs) const
 {
-    // Before the first completions nothing is known; a second is the usual length of a request.
+    // The rate is unknown before the first completions. One second is the usual duration of a
+    // request.
     const double interval = m_interval == 0 ? 1 : m_interval;
     return std::clamp(fromSeconds(interval * static_cast<double>(jobs)), MinHint, MaxHint);
 }
--- a/src/Decide/AdmissionQueue.h
+++ b/src/Decide/AdmissionQueue.h
@@ -13,12 +13,13 @@
 
 namespace catkinloft {
 
-/// \brief Jobs that wait for a place, in weighted fair order by workspace.
+/// \brief Holds the jobs that wait for an upstream, in weighted fair order by workspace.
 ///
-/// Load: one workspace surges while the rest wait. Harm prevented: in one common queue the surge
-/// would make everybody late. Start-time fair queueing by work gives each workspace its weight's
-/// share; the protected ones share a class that goes first four times in five, so that the rest is
-/// slowed but never starved.
+/// Handles a surge of one workspace while jobs of others wait. Prevents that the surge delays all
+/// workspaces, as it would in one common queue. Start-time fair queueing by work gives each
+/// workspace a share proportional to its weight. Protected workspaces form a class that receives
+/// four fifths of the capacity while both classes wait, so that the others are slowed down but not
+/// starved.
 class AdmissionQueue
 {
 public:
@@ -29,42 +30,43 @@
         Job job;
         Decided decided;
         TimePoint since;
-        TimePoint limit; ///< When it is refused at the latest.
+        TimePoint limit; ///< When it is refused if no upstream was found.
     };
 
-    /// \brief Takes over the rules and workspaces of \a inventory.
+    /// \brief Uses the rules and workspaces of \a inventory from now on.
     void setInventory(InventoryPtr inventory) { m_inventory = std::move(inventory); }
 
-    /// \brief Adds \a entry, setting its limit.
-    /// \returns what has to be refused to keep the queue in its bounds: \a entry itself, another
-    /// or nothing.
+    /// \brief Adds \a entry and sets the time at which it expires.
+    /// \returns the entry that must be refused to keep the queue within its maximum length, which
+    /// can be \a entry itself, with the error; std::nullopt if there is none.
     std::optional<std::pair<Entry, Error>> push(Entry entry, TimePoint now);
 
-    /// \returns the job whose turn it is; nullptr where none waits.
+    /// \returns the next job in fair order; nullptr if the queue is empty.
     const Entry *front() const;
 
-    /// \brief Takes out front().
+    /// \brief Removes and returns front(). The queue must not be empty.
     Entry pop();
 
-    /// \returns the next entry whose limit has passed, taken out.
+    /// \brief Removes and returns an entry that has expired, the earliest first; std::nullopt if
+    /// there is none.
     std::optional<Entry> popExpired(TimePoint now);
 
-    /// \brief Takes out the job \a id.
-    /// \returns whether it waited.
+    /// \brief Removes the job \a id.
+    /// \returns whether it was in the queue.
     bool remove(JobId id);
 
-    /// \brief Tells the queue that a job left an upstream, which its hints are worked out from.
+    /// \brief Records that a job left an upstream. expectedWait() uses the rate of completions.
     void recordCompletion(TimePoint now);
 
-    /// \returns the time until \a jobs more have ended at the rate of late, for retry hints.
+    /// \returns the estimated time until \a jobs more jobs have completed, for Retry-After hints.
     Duration expectedWait(std::size_t jobs) const;
 
-    /// \returns when the first waiting job reaches its limit.
+    /// \returns when the next job expires; TimePoint::max() if the queue is empty.
     TimePoint firstLimit() const;
 
     std::size_t size() const { return m_byId.size(); }
     bool empty() const { return m_byId.empty(); }
-    /// \returns the workspace of the waiting job \a id; empty where it does not wait.
+    /// \returns the workspace of the job \a id; empty if it is not in the queue.
     std::string workspaceOf(JobId id) const;
 
     std::size_t lengthOf(const std::string &workspace) const;
@@ -75,7 +77,7 @@
         std::string workspace;
         bool isProtected = false;
         double weight = 1;
-        double start = 0; ///< Virtual time at which its next job is due.
+        double start = 0; ///< Virtual start time of its next job.
         std::list<Entry> jobs; ///< Higher priority first, then older.
     };
     using FlowKey = std::pair<double, std::string>;
@@ -84,7 +86,7 @@
     {
         double start = 0;
         double virtualTime = 0;
-        std::set<FlowKey> flows; ///< Those with jobs, by their start.
+        std::set<FlowKey> flows; ///< Flows with jobs, ordered by virtual start time.
     };
 
     struct Place
@@ -103,11 +105,11 @@
 
     InventoryPtr m_inventory;
     std::map<std::string, Flow> m_flows;
-    Class m_classes[2]; ///< Protected workspaces, then the rest.
+    Class m_classes[2]; ///< Protected workspaces, then all others.
     std::map<JobId, Place> m_byId;
     std::set<std::pair<TimePoint, JobId>> m_limits;
     double m_classTime = 0;
-    double m_interval = 0; ///< Moving average of seconds between completions.
+    double m_interval = 0; ///< Moving average of the seconds between completions; 0: unknown.
     TimePoint m_lastCompletion;
 };
 
--- a/src/Decide/ChatOrder.cpp
+++ b/src/Decide/ChatOrder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// 32 x 32 groups keep the scores of a placement under 100 up to some 30,000 nodes.
+// With 32 x 32 groups, a placement computes fewer than 100 scores for up to about 30,000 nodes.
 constexpr unsigned GroupBits = 5;
 
 constexpr std::uint64_t TopSalt = 0x746f70;
@@ -17,8 +17,8 @@
 
 constexpr double RoundingMargin = 1e-12;
 
-/// Mixes a chat's key with a group's id; both are hashes already, so two rounds are enough, and
-/// being inline it costs a third of hashCombine().
+/// Mixes a chat's key with a group's id. Two rounds are sufficient because both are hashes already.
+/// Inlined, this takes a third of the time of hashCombine().
 inline std::uint64_t mix(std::uint64_t key, std::uint64_t id)
 {
     std::uint64_t x = (key ^ id) * 0x9E3779B97F4A7C15ULL;
@@ -26,7 +26,7 @@
     return x ^ (x >> 32);
 }
 
-/// The weighted rendezvous score, as rendezvousScore() has it.
+/// The weighted rendezvous score of a hash value. \sa rendezvousScore()
 double score(double weight, std::uint64_t draw)
 {
     const double u = (static_cast<double>(draw >> 11) + 0.5) * 0x1.0p-53;
@@ -81,7 +81,8 @@
 {
     if (groups.size() < 2)
         return 0;
-    // The highest draw wins where no weight is higher. Elsewhere it gives a score to beat.
+    // The group with the highest draw is the best unless another one has a higher weight. Then its
+    // score is a lower bound of the best score.
     std::size_t out = 0;
     std::uint64_t highest = 0;
     for (std::size_t i = 0; i < groups.size(); ++i) {
@@ -92,8 +93,8 @@
     if (groups[out].weight >= maxWeight)
         return out;
     double bestScore = score(groups[out].weight, highest);
-    // -ln(u) >= 1 - u, so a draw under this can't win with any weight here, which saves nearly all
-    // logarithms. The margin covers rounding.
+    // Since -ln(u) >= 1 - u, a draw below this value can't have the best score with any weight in
+    // this level. This avoids nearly all logarithms. The margin covers rounding errors.
     const double limit = 1 - maxWeight / bestScore - RoundingMargin;
     const std::uint64_t floor = limit <= 0 ? 0 : static_cast<std::uint64_t>(limit * 0x1.0p64);
     for (std::size_t i = 0; i < groups.size(); ++i) {
--- a/src/Decide/Dispatcher.cpp
+++ b/src/Decide/Dispatcher.cpp
@@ -12,15 +12,15 @@
 
 using namespace std::chrono_literals;
 
-/// While jobs wait, capacity may also come back by reports, slow start or the end of an ejection,
-/// of which nothing tells.
+/// While jobs wait, capacity can also become free by expired reports, slow start or the end of an
+/// ejection, none of which triggers a call.
 constexpr Duration WaitingPoll = 50ms;
 
-/// Reports are aged and the mean is summed anew this often, at the cost of one pass over the pool.
+/// Interval at which old reports are removed and the mean is recomputed, in one pass over the pool.
 constexpr Duration RefreshPeriod = 1s;
 
-/// An owner that did not answer a relay is passed over for so long: as long as lists of routers
-/// take to agree that it is gone.
+/// How long an owner that did not answer a relay is excluded. The lists of routers take this long
+/// to agree that a router is gone.
 constexpr Duration SuspectTime = 5s;
 
 } // namespace
@@ -117,13 +117,14 @@
 {
     if (job.deadline <= m_options.clock.now())
         return Error{.reason = Reason::DeadlineExpired,
-                     .detail = "the deadline had passed when the request asked for a place"};
+                     .detail = "the deadline had already passed when the request was dispatched"};
     const Workspace *workspace = m_inventory ? m_inventory->workspace(job.workspace) : nullptr;
     const auto found = m_inFlight.find(job.workspace);
     const int inFlight = found == m_inFlight.end() ? 0 : found->second;
     if (workspace && workspace->maxInFlight > 0 && inFlight >= workspace->maxInFlight)
         return Error{.reason = Reason::WorkspaceLimit,
-                     .detail = "the workspace has as many requests in progress as it may",
+                     .detail =
+                             "the workspace has reached its maximum number of requests in progress",
                      .retryAfter = m_queue.expectedWait(1),
                      .rule = "workspaces.max_in_flight",
                      .figures = {{"in_flight", static_cast<double>(inFlight)},
@@ -167,8 +168,8 @@
     return true;
 }
 
-/// Everything looks full from here: the owner of the chat's first engine knows better and has the
-/// queue in which the chat's workspace takes its turn.
+/// Called when no upstream has room according to this router. The owner of the chat's first engine
+/// has the exact count, and the queue in which the job waits in fair order.
 bool Dispatcher::relayToFirst(const Job &job, const Decided &decided)
 {
     if (job.hops > 0 || job.chatKey == 0)
@@ -245,7 +246,7 @@
         m_inFlight.erase(found);
 }
 
-/// A callback may call back into this class, so they run last and one after the other.
+/// Callbacks may call functions of this class, so they are called last and one after the other.
 void Dispatcher::flush()
 {
     if (m_flushing)
@@ -261,7 +262,7 @@
 
 void Dispatcher::cancel(JobId id)
 {
-    // A job that waits is only in the queue, so its workspace is found there.
+    // The workspace of a waiting job is only known to the queue.
     if (const std::string workspace = m_queue.workspaceOf(id); m_queue.remove(id))
         release(workspace);
 }
@@ -285,8 +286,8 @@
     flush();
 }
 
-/// While an owner doesn't answer this router keeps its count, so that the bound goes on to hold for
-/// what is sent from here.
+/// While an owner does not answer, this router counts the load of its upstreams itself, so that the
+/// load bound still applies to the jobs that this router sends.
 void Dispatcher::suspect(const std::string &owner, TimePoint now)
 {
     const bool added = m_suspects.insert_or_assign(owner, now + SuspectTime).second;
@@ -299,8 +300,8 @@
     const TimePoint now = m_options.clock.now();
     const bool byRule = now - entry.since >= m_inventory->rules.queueSojourn;
     return {.reason = byRule ? Reason::SojournExceeded : Reason::DeadlineExpired,
-            .detail = byRule ? "no upstream had room within the longest wait"
-                             : "no upstream had room within half of the time to the deadline",
+            .detail = byRule ? "no upstream had capacity within the maximum time in the queue"
+                             : "no upstream had capacity within half of the time to the deadline",
             .retryAfter = m_queue.expectedWait(m_queue.size() + 1),
             .rule = "rules.queue_sojourn",
             .figures = {{"waited_s", toSeconds(now - entry.since)},
@@ -338,7 +339,7 @@
 
 bool Dispatcher::mayRetry(const Job &job, Reason reason)
 {
-    // A pool in which jobs wait, or which declined this one, has no room for the same work twice.
+    // A pool that has waiting jobs or that refused this one has no capacity for a second attempt.
     if (reason == Reason::UpstreamRefused || !m_queue.empty())
         return false;
     return m_placement.anyFor(job) && m_retries.tryRetry();
--- a/src/Decide/Dispatcher.h
+++ b/src/Decide/Dispatcher.h
@@ -24,20 +24,21 @@
 
 namespace catkinloft {
 
-/// \brief Decides for one pool (the engines of a model, or the replicas of a service) which job
-/// runs where and when, which waits and which is refused. Free of sockets, threads and time of its
-/// own.
+/// \brief Decides for one pool (the engines of a model or the replicas of a service) which jobs run
+/// on which upstream, which ones wait and which ones are refused. Uses no sockets, threads or
+/// system clock.
 ///
-/// Load: many routers before the same engines, each with a sliver of the traffic. Harm prevented:
-/// counts that many routers keep apart let an engine exceed its bound by all of their errors. Each
-/// engine therefore has one owner among the routers, by hashing; a chat's request passes through
-/// the owner, where the count is exact, at the price of one hop when the caller did not come there.
-/// While lists of routers disagree an engine has two owners for some seconds, and each counts what
-/// the other reports.
+/// Handles many routers in front of the same engines, each with a small part of the traffic.
+/// Prevents that an engine exceeds its load bound by the sum of the errors of their separate
+/// counts. Each engine therefore has one owner among the routers, chosen by hashing. A request of a
+/// chat passes through the owner, where the count is exact. This takes one additional hop if the
+/// caller uses another router. While the routers' lists of routers differ, an engine can have two
+/// owners for a few seconds; each of them adds the load that the other reports.
 class Dispatcher
 {
 public:
-    /// \brief Called exactly once a job: at once, or later from poll(), finished() or a setter.
+    /// \brief Called exactly once per job, unless it is cancelled: by submit() itself, or later by
+    /// poll(), finished(), addLoadReports(), setEngines() or setReplicas().
     using Decided = std::function<void(Result<Assignment>)>;
 
     struct Options
@@ -46,58 +47,61 @@
         RandomSource random;
         std::string self; ///< Name of this router.
         std::string failureDomain = {}; ///< Of this router.
-        int ownerGroup = OwnerGroups::UsualSize; ///< Upstreams of which one router keeps the count.
+        int ownerGroup = OwnerGroups::UsualSize; ///< Upstreams per group of one owner.
     };
 
-    /// \brief What was decided so far; only ever rises.
+    /// \brief Numbers of decisions so far. They never decrease.
     struct Counters
     {
-        std::uint64_t placed = 0; ///< Sent to an upstream or an owner.
-        std::uint64_t relayed = 0; ///< Of these, sent to the owner of the engine.
+        std::uint64_t placed = 0; ///< Assigned to an upstream or an owner.
+        std::uint64_t relayed = 0; ///< Of these, relayed to the owner of the engine.
         std::uint64_t guests = 0; ///< Of these, on an engine that another router owns.
-        std::uint64_t overflowed = 0; ///< Of these, not on the first engine in the chat's order.
+        std::uint64_t overflowed = 0; ///< Of these, not on the first usable engine of the chat.
         std::uint64_t queued = 0;
         std::uint64_t refused = 0;
     };
 
     explicit Dispatcher(Options options);
 
-    /// \brief Takes over the engines of \a model and the rules of \a inventory.
+    /// \brief Uses the engines of \a model and the rules of \a inventory from now on.
     void setEngines(InventoryPtr inventory, std::string_view model);
 
-    /// \brief Takes over the replicas of \a service and the rules of \a inventory.
+    /// \brief Uses the replicas of \a service and the rules of \a inventory from now on.
     void setReplicas(InventoryPtr inventory, std::string_view service);
 
-    /// \brief Takes over who shares the engines; empty: this router alone.
+    /// \brief Sets the routers that share the engines; empty: only this router uses them.
     void setRouters(std::vector<RouterView> routers);
 
-    /// \brief Takes over what other routers have in progress; late and missing ones do no harm.
+    /// \brief Uses \a reports about the work that other routers have in progress. They may be late
+    /// or missing.
     void addLoadReports(std::span<const LoadReport> reports);
 
-    /// \returns what this router has in progress on each upstream, to be told to the others.
+    /// \returns what this router has in progress on each upstream, for the other routers.
     std::vector<LoadReport> ownLoad() const { return m_placement.ownLoad(m_options.self); }
 
-    /// \brief Asks for a place for \a job.
+    /// \brief Requests an upstream for \a job.
     void submit(Job job, Decided decided);
 
-    /// \brief Forgets a waiting job; its callback is not called any more.
+    /// \brief Removes a waiting job. Its callback is not called.
     void cancel(JobId id);
 
-    /// \brief Reports that the attempt of \a id ended, which frees its share of the upstream.
+    /// \brief Records that the attempt of job \a id finished, which frees its share of the
+    /// upstream.
     void finished(JobId id, const AttemptReport &report);
 
-    /// \brief Lets time pass: refuses what waited too long, places what fits now.
+    /// \brief Assigns waiting jobs that fit now and refuses those that have expired.
     void poll();
 
-    /// \returns when poll() has to run next; TimePoint::max() while nothing waits.
+    /// \returns when poll() must be called next; TimePoint::max() while no job waits.
     TimePoint nextDeadline() const;
 
-    /// \brief Asks whether a failed attempt of \a job may be followed by another, and counts it.
+    /// \brief Checks whether a failed attempt of \a job may be retried, and takes the retry from
+    /// the budget.
     ///
-    /// Whether the verdict allows a repetition is the caller's to check.
+    /// The calling code has to check whether the verdict allows a retry.
     bool mayRetry(const Job &job, Reason reason);
 
-    /// \returns requests that wait or run here, by workspace.
+    /// \returns the number of requests that wait or run at this router, by workspace.
     const std::map<std::string, int> &inFlight() const { return m_inFlight; }
 
     const Counters &counters() const { return m_counters; }
@@ -110,7 +114,7 @@
     {
         Placement::Running placed;
         std::string workspace;
-        std::string owner; ///< Router that it was relayed to.
+        std::string owner; ///< Router to which it was relayed; empty if it was not.
     };
 
     void setPool(InventoryPtr inventory, std::vector<Placement::Upstream> upstreams,
@@ -138,9 +142,10 @@
     RetryBudget m_retries;
     std::vector<RouterView> m_routers;
     ChatOrder m_routerOrder;
-    std::map<std::string, TimePoint> m_suspects; ///< Owners that failed a relay, until when.
+    std::map<std::string, TimePoint>
+            m_suspects; ///< Owners that failed a relay; excluded until then.
     std::unordered_map<JobId, Running> m_running;
-    std::map<std::string, int> m_inFlight; ///< By workspace, waiting or running.
+    std::map<std::string, int> m_inFlight; ///< Waiting and running jobs, by workspace.
     std::deque<std::pair<Decided, Result<Assignment>>> m_ready;
     bool m_flushing = false;
     TimePoint m_refreshAt;
--- a/src/Decide/Job.h
+++ b/src/Decide/Job.h
@@ -17,7 +17,8 @@
     JobId id = 0; ///< Unique in this process.
     std::string workspace = {};
     std::uint64_t chatKey = 0; ///< Equal for all requests of one chat; 0 if not part of a chat.
-    double work = 1; ///< Estimated tokens to be read and generated; 1 for a call of a plain service.
+    double work =
+            1; ///< Estimated tokens to be read and generated; 1 for a call of a plain service.
     int priority = 0; ///< Jobs of higher priority go first within a workspace.
     TimePoint deadline = {};
     int hops = 0; ///< Number of routers that the request passed before this one.
@@ -31,7 +32,7 @@
     std::string address = {}; ///< `ip:port` to send the request to.
     bool relayed = false; ///< `address` is the router that owns the engine, not the engine.
     Duration waited = Duration::zero(); ///< Time spent in the admission queue.
-    std::string why = {}; ///< Reason for the choice, in plain words.
+    std::string why = {}; ///< Reason for the choice, for `explain`.
 };
 
 /// \brief Outcome of one attempt on an upstream.
--- a/src/Decide/Placement.cpp
+++ b/src/Decide/Placement.cpp
@@ -11,24 +11,27 @@
 
 using namespace std::chrono_literals;
 
-/// Places of a chat's own order that are tried. With 1.25 as the bound about one engine in five is
-/// full under an even load, so eight places fail once in 400,000 placements.
+/// Maximum number of positions of a chat's order that are tried. With a load bound of 1.25, about
+/// one engine in five is full under an even load, so that all eight are full once in 400,000
+/// placements.
 constexpr unsigned MaxProbes = 8;
 
-/// Upstreams looked at when the chat's own order is full. It bounds a placement to some
-/// microseconds; where 256 in a row are full, the pool is saturated and the job waits.
+/// Maximum number of upstreams that are tried when those of the chat's order are full. It limits a
+/// placement to a few microseconds. If 256 consecutive upstreams are full, the pool is saturated
+/// and the job waits.
 constexpr std::size_t MaxScan = 256;
 
-/// Samples for a job without a chat: two choices avoid the herd that "least loaded" makes of
-/// lagging reports.
+/// Random samples for a job without a chat. With the power of two choices, routers with outdated
+/// reports do not all choose the same least loaded upstream.
 constexpr int Choices = 2;
 
-/// A report that was not renewed for so long comes from a router that is gone.
+/// A report that was not renewed within this time is removed, because its router is gone.
 constexpr Duration ReportLife = 10s;
 
 constexpr Duration BaselinePeriod = 1s;
 
-/// Room over the mean that is left to the pool while engines start slowly.
+/// Capacity of the pool, relative to its work, that the bounds leave while upstreams are in slow
+/// start.
 constexpr double RampHeadroom = 1.05;
 
 } // namespace
@@ -65,7 +68,7 @@
         if (!m_byId.contains(id))
             m_health.removed(before[i].health);
     }
-    // Those leaving stay in the order: when one comes back, its chats find it in the same place.
+    // Leaving upstreams stay in the order, so that their chats use them again if they return.
     m_order.assign(nodes);
     buildGroups(pool);
     m_first = m_first && m_states.empty();
@@ -74,7 +77,8 @@
 
 void Placement::joined(State &it, const std::string &name)
 {
-    // An engine that left the inventory and came back within minutes flaps; its record outlives it.
+    // An upstream that leaves the inventory and returns within minutes is flapping, so its setbacks
+    // are kept after its removal.
     std::erase_if(m_setbacks, [&](const auto &old) {
         return m_now - old.second.at > HealthTracker::SetbackLife;
     });
@@ -137,8 +141,8 @@
 
 double Placement::seenWork(const State &it)
 {
-    // What this router relayed is not in it: the owner counts it exactly, and counting it here
-    // until the owner's next report had routers pass over engines that had room.
+    // Jobs that this router relayed are not included. The owner counts them exactly. If they were
+    // counted here until the owner's next report, routers would skip engines that have capacity.
     return it.work + it.heardWork;
 }
 
@@ -183,10 +187,10 @@
     const State &it = m_states[i];
     if (m_totalWeight <= 0)
         return m_rules.loadBound * work;
-    // Where many start slowly at once, the others together must still have room for all the work.
+    // While many upstreams are in slow start, the others must have capacity for all of the work.
     const double weight =
             std::min(m_totalWeight, m_rules.loadBound * m_rampedWeight / RampHeadroom);
-    // The job counts into the mean that it is measured by, so an idle pool has room for it.
+    // The mean includes the job, so that an idle pool has capacity for it.
     const double mean = (std::max(0.0, m_totalWork) + work) / weight;
     return m_rules.loadBound * mean * it.upstream.weight * it.ramp;
 }
@@ -202,16 +206,16 @@
     State &it = m_states[i];
     if (it.upstream.leaving)
         return false;
-    // Another router counts it exactly and will be asked; to judge it here by what was reported
-    // a second ago would lose the chat's context for nothing.
+    // The job will be relayed to the owner, which has the exact count. A decision based on a report
+    // that can be a second old could needlessly lose the chat's cached context.
     if (!it.owned && job.chatKey != 0 && job.hops == 0)
         return inUse(it) && !isExcluded(it, job);
     if (!it.limit.allows(seenInFlight(it)))
         return false;
     if (it.health.state != HealthTracker::State::Healthy && !m_health.admits(it.health, m_now))
         return false;
-    // Load may reach the bound plus this one job: a rule that counted the job in would leave an
-    // engine idle whenever one job is larger than the bound.
+    // The load may exceed the bound by this one job. If the job were included, an idle engine would
+    // accept no job that is larger than the bound.
     return seenWork(it) < boundOf(i, job.work) && (job.excluded.empty() || !isExcluded(it, job));
 }
 
@@ -238,8 +242,8 @@
     return scan(job, job.chatKey % m_states.size());
 }
 
-/// What is over the bound stays with the engines whose count this router keeps, in the chat's own
-/// order among them: exact again, without another hop.
+/// Jobs over the bound of their first engine go to the other engines of the same owner, in an order
+/// given by the chat's key. Their load is exact too, and no other hop is needed.
 std::size_t Placement::chooseInGroup(const Job &job, std::size_t first)
 {
     std::size_t best = None;
@@ -272,8 +276,8 @@
         const double loadB = seenWork(m_states[b]) / m_states[b].upstream.weight;
         if (loadA != loadB)
             return loadA < loadB;
-        // Equal loads: the near one saves half a millisecond and survives the loss of another
-        // failure domain.
+        // With equal loads, an upstream in the router's failure domain is preferred: it has half a
+        // millisecond less latency and is not affected by the loss of another failure domain.
         const auto &own = m_options.failureDomain;
         return m_states[a].upstream.failureDomain == own
                 && m_states[b].upstream.failureDomain != own;
@@ -362,7 +366,8 @@
     const TimePoint now = m_options.clock.now();
     std::vector<LoadReport> out;
     for (const State &it : m_states) {
-        // One that became idle is still told for a while, so that a lost message leaves no ghost.
+        // An idle upstream is still reported for ReportLife, so that after a lost message no router
+        // keeps counting the former load.
         if (it.inFlight == 0 && now - it.lastBusy > ReportLife)
             continue;
         out.push_back({.upstream = it.upstream.name,
--- a/src/Decide/Placement.h
+++ b/src/Decide/Placement.h
@@ -18,17 +18,18 @@
 
 namespace catkinloft {
 
-/// \brief Which upstream of a pool a job runs on: the first of the chat's order that stays within
-/// the load bound.
+/// \brief Chooses the upstream of a pool for a job: the first one in the chat's order that stays
+/// within the load bound (consistent hashing with bounded loads).
 ///
-/// Load: returning chats of workspaces of very different size, on routers that each see a sliver.
-/// Harm prevented: hashing alone finds the context but lets a surge heat one engine; balancing
-/// alone loses the context. Bounding each engine to `rules.load_bound` times the mean keeps both:
-/// only what is over the bound moves on, and always to the same next engine.
+/// Handles returning chats of workspaces of very different sizes, on routers that each receive a
+/// small part of the traffic. Prevents both that a surge overloads one engine, as with hashing
+/// alone, and that chats lose their cached context, as with load balancing alone. The load of each
+/// engine is limited to `rules.load_bound` times the mean. Only jobs above this bound move, and a
+/// chat always moves to the same next engine.
 class Placement
 {
 public:
-    /// \brief One engine or replica as the inventory has it.
+    /// \brief One engine or replica of the inventory.
     struct Upstream
     {
         std::string name;
@@ -47,10 +48,10 @@
         int ownerGroup = OwnerGroups::UsualSize;
     };
 
-    /// \brief What start() counted, so that stop() can take it back.
+    /// \brief The load that start() added, which stop() subtracts.
     struct Running
     {
-        std::uint64_t upstream = 0; ///< Id.
+        std::uint64_t upstream = 0; ///< Hash of its name.
         double work = 0;
         bool relayed = false;
     };
@@ -59,50 +60,56 @@
 
     explicit Placement(Options options);
 
-    /// \brief Takes over the upstreams; those that stay keep their load and health.
-    /// \param pool hash of the pool's name, which gives pools of one group different owners.
+    /// \brief Replaces the upstreams. Those that stay in the pool keep their load and health.
+    /// \param pool hash of the pool's name. \sa OwnerGroups::OwnerGroups
     void setUpstreams(std::vector<Upstream> upstreams, const Rules &rules, std::uint64_t pool = 0);
 
-    /// \brief Takes over what the other routers have in progress, replacing what \a reports name.
+    /// \brief Records what other routers have in progress. Each report replaces the previous one of
+    /// its router about its upstream.
     void addReports(std::span<const LoadReport> reports);
 
-    /// \brief Drops reports that are too old to mean anything and what depends on time.
+    /// \brief Removes expired reports and recomputes the values that depend on time.
     void refresh();
 
-    /// \returns the upstream that fits \a job, or None.
-    /// \param hint an upstream that was just freed; tried after the chat's own order.
+    /// \param hint an upstream on which a job just ended; tried after the chat's order.
+    /// \returns an upstream that has capacity for \a job, or None.
     std::size_t choose(const Job &job, std::size_t hint = None);
 
-    /// \returns the group of upstream \a i, whose load one router counts.
+    /// \returns the group of upstream \a i. One router owns the group and counts its load.
     std::uint64_t groupOf(std::size_t i) const { return m_states[i].group; }
 
-    /// \brief Says whether this router owns upstream \a i, so that its own count is exact.
+    /// \brief Sets whether this router owns upstream \a i, so that its own count is exact.
     void setOwned(std::size_t i, bool owned) { m_states[i].owned = owned; }
 
-    /// \returns the first upstream in the order of \a job that is in use, full or not.
+    /// \returns the first usable upstream in the order of \a job, even if it has no capacity; None
+    /// if there is none.
     std::size_t firstOf(const Job &job);
 
-    /// \returns whether any upstream could ever take \a job.
+    /// \returns whether the pool has an upstream that is neither leaving nor excluded for \a job.
     bool anyFor(const Job &job);
 
+    /// \brief Adds \a job to the load of upstream \a i. A relayed job is counted by the owner
+    /// instead.
     Running start(std::size_t i, const Job &job, bool relayed);
 
-    /// \returns the upstream that was freed, or None where it left the pool.
+    /// \brief Subtracts a finished job from the load and records the outcome of its attempt.
+    /// \returns the upstream on which the job ran; None if it left the pool or the job was relayed.
     std::size_t stop(const Running &running, const AttemptReport &report);
 
     const Upstream &upstream(std::size_t i) const { return m_states[i].upstream; }
     std::size_t size() const { return m_states.size(); }
 
-    /// \returns work in progress on upstream \a i as far as known, in tokens.
+    /// \returns the known work in progress on upstream \a i, in tokens.
     double loadOf(std::size_t i) const;
 
-    /// \returns mean work of an upstream of weight 1 as far as known.
+    /// \returns the mean known work per unit of weight, in tokens.
     double meanLoad() const;
 
-    /// \returns most work that upstream \a i may have before it takes another job of \a work.
+    /// \returns the load bound of upstream \a i. It accepts a job of \a work while its load is
+    /// below the bound.
     double boundOf(std::size_t i, double work) const;
 
-    /// \returns what this router itself sent to upstreams, to be told to the others.
+    /// \returns the load that this router itself sends to upstreams, for the other routers.
     std::vector<LoadReport> ownLoad(const std::string &self) const;
 
     const HealthTracker &health() const { return m_health; }
@@ -122,7 +129,7 @@
         Upstream upstream;
         std::uint64_t id = 0;
         std::uint64_t group = 0;
-        double work = 0; ///< Sent by this router.
+        double work = 0; ///< In progress, sent by this router.
         int inFlight = 0;
         std::vector<Heard> heard;
         double heardWork = 0;
@@ -130,8 +137,8 @@
         HealthTracker::Entry health;
         ConcurrencyLimit limit;
         bool owned = true;
-        bool counted = false; ///< Part of the mean.
-        double ramp = 1; ///< Of slow start, as of the last refresh.
+        bool counted = false; ///< Included in the totals.
+        double ramp = 1; ///< Slow-start factor when it was last computed.
         TimePoint lastBusy;
     };
 
@@ -162,7 +169,7 @@
     ChatOrder m_order;
     std::unordered_map<std::uint64_t, std::vector<std::size_t>> m_groups;
     HealthTracker m_health;
-    TimePoint m_now; ///< Of the call in progress.
+    TimePoint m_now; ///< Time of the current call.
     TimePoint m_baselineAt;
     double m_totalWork = 0;
     double m_totalWeight = 0;
--- a/src/Decide/Rendezvous.h
+++ b/src/Decide/Rendezvous.h
@@ -11,8 +11,9 @@
 /// the first in the key's order.
 ///
 /// Handles every returning chat, on routers that share only the list of nodes. Prevents that a
-/// change of the list moves all chats: a node that joins or leaves moves only the keys that it gains
-/// or had, which are 1/n of all. With modulo hashing nearly every chat would lose its context.
+/// change of the list moves all chats: a node that joins or leaves moves only the keys that it
+/// gains or had, which are 1/n of all. With modulo hashing nearly every chat would lose its
+/// context.
 ///
 /// \param weight capacity relative to the other nodes; must be positive.
 inline double rendezvousScore(std::uint64_t key, std::uint64_t node, double weight)
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -24,7 +24,8 @@
 /// How long a request that is not held back stays suspected after its last crash.
 constexpr Duration SuspicionLife = 10min;
 
-/// How long a router remembers that a request was cleared, to inform routers that missed the update.
+/// How long a router remembers that a request was cleared, to inform routers that missed the
+/// update.
 constexpr Duration ClearedLife = 30s;
 
 /// A record that was cleared less than this time ago is not updated, because a request that many
@@ -35,8 +36,8 @@
 /// the crashes has more incidents.
 constexpr Duration SettleTime = 200ms;
 
-/// Average time between the trials of two routers, so that the second router receives the outcome of
-/// the first trial.
+/// Average time between the trials of two routers, so that the second router receives the outcome
+/// of the first trial.
 constexpr Duration TrialSpacing = 2s;
 
 /// Time after which a router may start another trial although the previous one has no outcome.
@@ -53,7 +54,8 @@
 /// All other routers do so, one request at a time.
 constexpr Duration RepeatInterval = 2s;
 
-/// Limits of one message. About 500 bytes, so that it fits into one datagram with its other content.
+/// Limits of one message. About 500 bytes, so that it fits into one datagram with its other
+/// content.
 constexpr std::size_t MaxToldRecords = 8;
 constexpr std::size_t MaxToldEnds = 8;
 
@@ -255,9 +257,9 @@
         count(entry);
 }
 
-/// \returns whether another request shares crashes with \a entry and has at least as many incidents,
-/// so that only the next crash can show which one is the cause. With more than MinMoments incidents
-/// the request that comes first in the order of decide() is held back.
+/// \returns whether another request shares crashes with \a entry and has at least as many
+/// incidents, so that only the next crash can show which one is the cause. With more than
+/// MinMoments incidents the request that comes first in the order of decide() is held back.
 bool RequestQuarantine::isUndecided(const Entry &entry,
                                     std::span<Records::value_type *const> suspects) const
 {
--- a/test/DecideAdmissionQueueTest.cpp
+++ b/test/DecideAdmissionQueueTest.cpp
@@ -58,12 +58,13 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(AdmissionQueueFixture, "admissionQueue_surgeOfOneWorkspace_othersWaitOneTurn")
+TEST_CASE_FIXTURE(AdmissionQueueFixture,
+                  "admissionQueue_surgeOfOneWorkspace_othersWaitForAtMostOneJob")
 {
     for (int i = 0; i < 90; ++i)
         push("large");
     push("small");
-    // The surge may be at its first job of a turn; the small workspace is next.
+    // The first job may still be one of the surge; the small workspace is next.
     CHECK(popMany(2)["small"] == 1);
 }
 
--- a/test/DecideDispatcherTest.cpp
+++ b/test/DecideDispatcherTest.cpp
@@ -40,7 +40,7 @@
     return out;
 }
 
-/// One router, or several that report to each other, over engines without time of their own.
+/// A dispatcher over engines that exist only in the inventory; finish() ends their jobs.
 struct DispatcherFixture
 {
     struct Outcome
@@ -135,7 +135,7 @@
 
 TEST_CASE("dispatcher_anyTraffic_keepsEveryEngineWithinTheBoundPlusOneJob")
 {
-    // The same cases on every run; RC_PARAMS="seed=..." tries others.
+    // Runs the same cases every time, unless RC_PARAMS="seed=..." is set.
     setenv("RC_PARAMS", "seed=1", 0);
     const bool held = rc::check([] {
         const int engines = *rc::gen::inRange(2, 40);
@@ -155,7 +155,8 @@
                 const Placement &p = it.dispatcher.placement();
                 const std::string placed = it.upstreamOf(id);
                 for (std::size_t i = 0; i < p.size(); ++i) {
-                    // Checked where load was added; elsewhere the mean may since have fallen.
+                    // Only where load was just added: on other engines the mean may have decreased
+                    // after their jobs were placed.
                     if (p.upstream(i).name == placed)
                         RC_ASSERT(p.loadOf(i) <= 1.25 * p.meanLoad() + work + 1e-6);
                 }
@@ -174,9 +175,9 @@
     std::map<std::string, int> hits;
     for (int i = 0; i < 90; ++i)
         ++hits[upstreamOf(submitChat(7))];
-    CHECK(hits.size() >= 8); // 1.25 times the mean on eight engines is all of it.
+    CHECK(hits.size() >= 8); // Eight engines with 1.25 times the mean hold all 90 jobs.
     for (const auto &[name, n] : hits)
-        CHECK(n <= 14); // 1.25 * 10 and one more, rounded up.
+        CHECK(n <= 14); // 1.25 * 10 plus one job, rounded up.
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_leavingEngine_getsNoNewWorkButKeepsItsOwn")
@@ -321,7 +322,7 @@
     CHECK(retries >= 100);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_crashedEngine_isLeftOutAfterItsFailures")
+TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_crashedEngine_isExcludedAfterItsFailures")
 {
     const JobId first = submitChat(5);
     const std::string crashed = upstreamOf(first);
@@ -362,7 +363,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_ownerDoesNotAnswer_isPassedOverForAWhile")
+TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_ownerDoesNotAnswer_isExcludedForAWhile")
 {
     dispatcher.setRouters({{.name = "r0", .callerAddress = "127.0.0.1:100"},
                            {.name = "r1", .callerAddress = "127.0.0.1:101"}});
@@ -376,7 +377,7 @@
         CHECK_FALSE(it.relayed);
         used.insert(it.upstream);
     }
-    // Meanwhile the bound is this router's to keep.
+    // Meanwhile this router counts the load itself and applies the bound.
     CHECK(used.size() == 3);
     for (int i = 0; i < 3; ++i)
         finish(lastId - static_cast<JobId>(i));
@@ -384,7 +385,7 @@
     CHECK(outcomes[submitChat(key)].assignment->relayed);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_othersLoadAnEngine_keepsItsOwnWorkAway")
+TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_othersLoadAnEngine_placesOwnWorkElsewhere")
 {
     const JobId first = submitChat(5, 1000);
     const std::string engine = upstreamOf(first);
@@ -395,14 +396,15 @@
                                            .measuredAt = clock.now()}};
     dispatcher.addLoadReports(reports);
     CHECK(upstreamOf(submitChat(5, 1000)) != engine);
-    // The reporter is gone: after its report's life the engine counts as free again.
+    // The reporting router is gone: when its report expires, the engine counts as idle again.
     clock.advance(11s);
     finish(first);
     dispatcher.poll();
     CHECK(upstreamOf(submitChat(5, 1000)) == engine);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_oneSlowEngine_losesItsTrafficAndTheRestKeepTheirs")
+TEST_CASE_FIXTURE(DispatcherFixture,
+                  "dispatcher_oneSlowEngine_losesItsTrafficAndTheOthersKeepTheirs")
 {
     const std::string slow = upstreamOf(submitChat(1));
     finish(lastId);
@@ -417,7 +419,7 @@
         }
     }
     CHECK(late[slow] == 0);
-    CHECK(late.size() == 9); // The slow one, by the look-up above, with none.
+    CHECK(late.size() == 9); // late[slow] above added the slow engine, with 0.
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture, "dispatcher_longBesideShortWork_sendsShortWorkElsewhere")
@@ -427,7 +429,7 @@
         CHECK(upstreamOf(submitChat(key, 100)) != busy);
 }
 
-TEST_CASE_FIXTURE(TwoSlotsFixture, "dispatcher_protectedSurge_othersAreServedOneTurnInFive")
+TEST_CASE_FIXTURE(TwoSlotsFixture, "dispatcher_protectedSurge_othersGetOneJobInFive")
 {
     saturate();
     std::vector<JobId> small;
--- a/test/FakeEngines.h
+++ b/test/FakeEngines.h
@@ -13,8 +13,9 @@
 
 namespace catkinloft {
 
-/// \brief Engines and their weight store in memory, behind the port that the controllers use.
-/// Answers come with deliver(); an order can be held back to arrive late.
+/// \brief In-memory engines and weight store that implement EnginePort for tests of the
+/// controllers. Answers are delivered by deliver(). Orders of one kind can be held back, to arrive
+/// late.
 class FakeEngines final : public EnginePort
 {
 public:
@@ -102,7 +103,7 @@
         done(outcome::success());
     }
 
-    /// \brief Answers what is due.
+    /// \brief Delivers all answers that are due.
     void deliver()
     {
         for (Due &it : std::exchange(m_due, {})) {
@@ -115,7 +116,7 @@
 
     std::size_t held() const { return m_held.size(); }
 
-    /// \brief Lets the orders arrive that were held back.
+    /// \brief Executes the orders that were held back.
     void releaseHeld()
     {
         for (const auto &it : std::exchange(m_held, {}))
@@ -125,9 +126,9 @@
     std::size_t machinesRead() const { return m_read.size(); }
 
     std::map<std::string, Machine> machines; ///< By address.
-    std::vector<std::string> log; ///< Orders obeyed.
-    std::string holdOrders; ///< Kind of order to hold back.
-    const ManualClock *clock = nullptr; ///< For what takes time.
+    std::vector<std::string> log; ///< Kinds of the executed orders.
+    std::string holdOrders; ///< Kind of the orders to hold back.
+    const ManualClock *clock = nullptr; ///< Without a clock, loading takes no time.
     Duration weightStoreClosedFor{};
     Duration loadTime{};
     int refused = 0;
--- a/test/RequestQuarantineTest.cpp
+++ b/test/RequestQuarantineTest.cpp
@@ -23,7 +23,7 @@
 const std::vector<std::string> Old = {"svc v1"};
 const std::vector<std::string> New = {"svc v2"};
 
-/// Routers that decide for themselves and tell each other what they know.
+/// Routers that each have their own quarantine and announce their evidence to each other.
 struct QuarantineFleetFixture
 {
     QuarantineFleetFixture() : QuarantineFleetFixture(4) { }
@@ -42,7 +42,7 @@
                 }}));
     }
 
-    /// Every router tells all others once, over the wire format.
+    /// Every router sends its updates to all others once, in the wire format.
     void tell()
     {
         for (const auto &from : routers) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A replica ends at router \a i while it runs all of \a requests.
+    /// Router \a i observes that a replica crashes while it runs all of \a requests.
     void end(std::size_t i, std::initializer_list<std::string> requests,
              const std::string &software = Old.front())
     {
@@ -80,13 +80,14 @@
     ManualClock clock;
     BeatCodec codec;
     std::vector<std::unique_ptr<RequestQuarantine>> routers;
-    std::size_t bytes = 0; ///< Of the longest message so far.
+    std::size_t bytes = 0; ///< Size of the longest message so far.
     int ended = 0;
 };
 
 } // namespace
 
-// Guards against a request that ends replicas at one router after the other without any knowing.
+// Guards against a request that crashes replicas via different routers, none of which observes
+// enough crashes to hold it back.
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_threeReplicasEnd_allRoutersHoldItBack")
 {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -103,7 +104,8 @@
     CHECK(heldBy(Innocent) == 0);
 }
 
-// Guards against refusing what many callers send, which is in progress on whatever ends.
+// Guards against holding back a request that many callers send, which is in progress on any replica
+// that crashes.
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_innocentCompletesBetweenEnds_isServed")
 {
     for (int i = 0; i < 20; ++i) {
@@ -117,7 +119,7 @@
     }
 }
 
-// Guards against taking what ran on a rack for the cause of its loss.
+// Guards against holding back the requests that were in progress on a lost rack.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
                   "requestQuarantine_manyReplicasEndAtOnce_nothingIsHeldBack")
 {
@@ -130,7 +132,7 @@
     CHECK(heldBy(Fatal) == 0);
 }
 
-// Guards against holding back a request for ends that another one has caused.
+// Guards against holding back a request for crashes that another request caused.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
                   "requestQuarantine_endsAreShared_onlyTheOneWithMoreIsHeld")
 {
@@ -166,7 +168,7 @@
     CHECK(heldBy(Fatal) == 5);
 }
 
-// Guards against a wave of trials, one from each router, once a request's time is over.
+// Guards against simultaneous trials by all routers when the hold time of a request is over.
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_timeIsOver_routersTryItInTurn")
 {
     for (int i = 0; i < 3; ++i) {
@@ -235,7 +237,8 @@
     CHECK(trials == 1);
 }
 
-// Guards against memory and messages that grow with the requests that were in progress on a rack.
+// Guards against memory use and messages that grow with the number of requests in progress on a
+// lost rack.
 TEST_CASE("requestQuarantine_manySuspects_areBoundedAndTheWorstIsKept")
 {
     QuarantineFleetFixture fleet(2);
@@ -250,15 +253,15 @@
         fleet.tell();
         fleet.clock.advance(400ms);
     }
-    CHECK(fleet.bytes < 8000); // 64 first ends, which go in several messages.
+    CHECK(fleet.bytes < 8000); // Up to 64 first incidents; FleetTask splits them into datagrams.
     CHECK(fleet.heldBy(Fatal) == 2);
 }
 
-/// A fleet in which each router reaches a part of the others at a time, with the pace of beats.
+/// A fleet in which each router sends to a part of the others at each heartbeat.
 struct LargeFleetFixture : QuarantineFleetFixture
 {
     static constexpr std::size_t Routers = 890;
-    static constexpr std::size_t Fanout = 26; ///< Of a beat.
+    static constexpr std::size_t Fanout = 26; ///< Receivers of a heartbeat.
     static constexpr std::size_t UrgentFanout = 78;
     static constexpr std::size_t Keepers = 8;
 
@@ -294,11 +297,12 @@
         clock.advance(400ms);
     }
 
-    std::vector<std::size_t> next; ///< Target of each router's next message.
-    std::size_t messages = 0; ///< That carried something.
+    std::vector<std::size_t> next; ///< Receiver of each router's next message.
+    std::size_t messages = 0; ///< Number of messages with updates.
 };
 
-// Guards against routers of a large fleet that have not heard of it when the request comes again.
+// Guards against routers of a large fleet that have not received the evidence when the request is
+// sent again.
 TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_largeFleet_allHoldItBackWithinThreeSeconds")
 {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -306,12 +310,13 @@
         tellFrom(i * 300, UrgentFanout);
         beat();
     }
-    for (int i = 0; i < 6; ++i) // With the beat before, 2.8 s since the third end.
+    for (int i = 0; i < 6; ++i) // With the heartbeat above, 2.8 s after the third crash.
         beat();
     CHECK(heldBy(Fatal) == Routers);
 }
 
-// Guards against a flood of messages where a failure domain is lost with all that ran there.
+// Guards against a flood of messages when a failure domain is lost with all requests in progress
+// there.
 TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_failureDomainLost_onlyKeepersAreTold")
 {
     constexpr std::size_t Suspects = 9'000;
