--- a/src/Decide/AdmissionQueue.cpp
+++ b/src/Decide/AdmissionQueue.cpp
@@ -107,14 +107,12 @@
             break;
     }
     const std::size_t waiting = size();
-    Error error{
-            .reason = Reason::ShedByRule,
-            .detail = "the queue is full and this workspace has the most waiting requests for its "
-                      "weight",
-            .retryAfter = expectedWait(victim->jobs.size()),
-            .rule = "workspaces.protected",
-            .figures = {{"waiting_requests", static_cast<double>(waiting)},
-                        {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
+    Error error{.reason = Reason::ShedByRule,
+                .detail = "the workspace has the longest queue in relation to its weight",
+                .retryAfter = expectedWait(victim->jobs.size()),
+                .rule = "workspaces.protected",
+                .figures = {{"waiting_requests", static_cast<double>(waiting)},
+                            {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
     return {takeOut(*victim, std::prev(victim->jobs.end())), std::move(error)};
 }
 
--- a/src/Decide/AdmissionQueue.h
+++ b/src/Decide/AdmissionQueue.h
@@ -15,8 +15,8 @@
 
 /// \brief Holds the jobs that wait for an upstream, in weighted fair order by workspace.
 ///
-/// Handles a surge of one workspace while jobs of others wait. Prevents that the surge delays all
-/// workspaces, as it would in one common queue. Start-time fair queueing by work gives each
+/// Handles a surge of one workspace while jobs of others wait. Prevents the surge from delaying
+/// all workspaces, as it would in one common queue. Start-time fair queueing by work gives each
 /// workspace a share proportional to its weight. Protected workspaces form a class that receives
 /// four fifths of the capacity while both classes wait, so that the others are slowed down but not
 /// starved.
--- a/src/Decide/ChatOrder.h
+++ b/src/Decide/ChatOrder.h
@@ -13,10 +13,10 @@
 /// Handles 86,000 placements per second over up to 10,000 engines. Plain rendezvous hashing
 /// computes a score for every engine, which takes over 100 microseconds per placement with 10,000
 /// engines. Two levels of groups, to which a node belongs by the bits of its own id, reduce this to
-/// about 75 scores. Prevents that a change of the pool's size moves all chats: the groups do not
-/// depend on the number of nodes. A node that joins or leaves moves its own share of the keys at
-/// each of the three levels. This is at most three times the minimum, and exactly 1/n while no two
-/// nodes share a group.
+/// about 75 scores. Prevents a change of the pool's size from moving all chats, because the
+/// groups do not depend on the number of nodes. A node that joins or leaves moves its own share of
+/// the keys at each of the three levels. This is at most three times the minimum, and exactly 1/n
+/// while no two nodes share a group.
 class ChatOrder
 {
 public:
--- a/src/Decide/ConcurrencyLimit.h
+++ b/src/Decide/ConcurrencyLimit.h
@@ -9,8 +9,9 @@
 /// \brief Adaptive limit of the requests in progress on one upstream, with additive increase and
 /// multiplicative decrease (AIMD). It never exceeds the slots stated in the inventory.
 ///
-/// Handles an upstream that is slower than its inventory entry states. Prevents that requests wait
-/// inside the upstream, where they can neither be ordered by workspace nor be refused in time.
+/// Handles an upstream that is slower than its inventory entry states. Prevents requests from
+/// waiting inside the upstream, where they can neither be ordered by workspace nor be refused in
+/// time.
 class ConcurrencyLimit
 {
 public:
@@ -38,7 +39,7 @@
     }
 
 private:
-    // Small enough a decrease that the failures of one batch of requests leave a limit above 1.
+    // The decrease is so small that the failures of one batch of requests leave a limit above 1.
     static constexpr double Decrease = 0.9;
 
     int m_most = 0;
--- a/src/Decide/Dispatcher.cpp
+++ b/src/Decide/Dispatcher.cpp
@@ -123,8 +123,7 @@
     const int inFlight = found == m_inFlight.end() ? 0 : found->second;
     if (workspace && workspace->maxInFlight > 0 && inFlight >= workspace->maxInFlight)
         return Error{.reason = Reason::WorkspaceLimit,
-                     .detail =
-                             "the workspace has reached its maximum number of requests in progress",
+                     .detail = "the workspace has its maximum number of requests in progress",
                      .retryAfter = m_queue.expectedWait(1),
                      .rule = "workspaces.max_in_flight",
                      .figures = {{"in_flight", static_cast<double>(inFlight)},
--- a/src/Decide/Dispatcher.h
+++ b/src/Decide/Dispatcher.h
@@ -29,7 +29,7 @@
 /// system clock.
 ///
 /// Handles many routers in front of the same engines, each with a small part of the traffic.
-/// Prevents that an engine exceeds its load bound by the sum of the errors of their separate
+/// Prevents an engine from exceeding its load bound by the sum of the errors of their separate
 /// counts. Each engine therefore has one owner among the routers, chosen by hashing. A request of a
 /// chat passes through the owner, where the count is exact. This takes one additional hop if the
 /// caller uses another router. While the routers' lists of routers differ, an engine can have two
@@ -142,8 +142,7 @@
     RetryBudget m_retries;
     std::vector<RouterView> m_routers;
     ChatOrder m_routerOrder;
-    std::map<std::string, TimePoint>
-            m_suspects; ///< Owners that failed a relay; excluded until then.
+    std::map<std::string, TimePoint> m_suspects; ///< Owners that failed a relay: excluded until.
     std::unordered_map<JobId, Running> m_running;
     std::map<std::string, int> m_inFlight; ///< Waiting and running jobs, by workspace.
     std::deque<std::pair<Decided, Result<Assignment>>> m_ready;
--- a/src/Decide/Job.h
+++ b/src/Decide/Job.h
@@ -17,8 +17,7 @@
     JobId id = 0; ///< Unique in this process.
     std::string workspace = {};
     std::uint64_t chatKey = 0; ///< Equal for all requests of one chat; 0 if not part of a chat.
-    double work =
-            1; ///< Estimated tokens to be read and generated; 1 for a call of a plain service.
+    double work = 1; ///< Estimated tokens to read and generate; 1 for a call of a plain service.
     int priority = 0; ///< Jobs of higher priority go first within a workspace.
     TimePoint deadline = {};
     int hops = 0; ///< Number of routers that the request passed before this one.
--- a/src/Decide/OwnerGroups.h
+++ b/src/Decide/OwnerGroups.h
@@ -10,10 +10,10 @@
 /// \brief Divides the upstreams of a pool into groups, each of which is owned by one router that
 /// counts its load.
 ///
-/// Handles pools of any size behind any number of routers. Prevents that jobs over the load bound
-/// go to engines whose load is only known from reports that are one second old: with one owner per
-/// engine, one placement in ten exceeded the bound. The number of groups depends on the size of the
-/// pool in the inventory and not on the live upstreams. A change of it moves the ownership of
+/// Handles pools of any size behind any number of routers. Prevents jobs over the load bound from
+/// going to engines whose load is only known from reports that are one second old: with one owner
+/// per engine, one placement in ten exceeded the bound. The number of groups depends on the size of
+/// the pool in the inventory and not on the live upstreams. A change of it moves the ownership of
 /// upstreams to other routers, but never moves chats to other upstreams.
 ///
 /// Placement and the lookup of the router for a chat both use this class, so that they name the
--- a/src/Decide/Placement.cpp
+++ b/src/Decide/Placement.cpp
@@ -30,8 +30,8 @@
 
 constexpr Duration BaselinePeriod = 1s;
 
-/// Capacity of the pool, relative to its work, that the bounds leave while upstreams are in slow
-/// start.
+/// Minimum ratio of the sum of all load bounds to the work of the pool, also while upstreams are in
+/// slow start.
 constexpr double RampHeadroom = 1.05;
 
 } // namespace
@@ -142,7 +142,7 @@
 double Placement::seenWork(const State &it)
 {
     // Jobs that this router relayed are not included. The owner counts them exactly. If they were
-    // counted here until the owner's next report, routers would skip engines that have capacity.
+    // included here until the owner's next report, routers would skip engines that have capacity.
     return it.work + it.heardWork;
 }
 
--- a/src/Decide/Placement.h
+++ b/src/Decide/Placement.h
@@ -22,8 +22,8 @@
 /// within the load bound (consistent hashing with bounded loads).
 ///
 /// Handles returning chats of workspaces of very different sizes, on routers that each receive a
-/// small part of the traffic. Prevents both that a surge overloads one engine, as with hashing
-/// alone, and that chats lose their cached context, as with load balancing alone. The load of each
+/// small part of the traffic. Prevents both overload of one engine by a surge, as with hashing
+/// alone, and loss of the cached context of chats, as with load balancing alone. The load of each
 /// engine is limited to `rules.load_bound` times the mean. Only jobs above this bound move, and a
 /// chat always moves to the same next engine.
 class Placement
@@ -88,7 +88,7 @@
     /// \returns whether the pool has an upstream that is neither leaving nor excluded for \a job.
     bool anyFor(const Job &job);
 
-    /// \brief Adds \a job to the load of upstream \a i. A relayed job is counted by the owner
+    /// \brief Adds \a job to the load of upstream \a i. The owner counts a relayed job
     /// instead.
     Running start(std::size_t i, const Job &job, bool relayed);
 
--- a/src/Decide/Rendezvous.h
+++ b/src/Decide/Rendezvous.h
@@ -10,9 +10,9 @@
 /// \returns the weighted rendezvous score of a node for a key. The node with the highest score is
 /// the first in the key's order.
 ///
-/// Handles every returning chat, on routers that share only the list of nodes. Prevents that a
-/// change of the list moves all chats: a node that joins or leaves moves only the keys that it
-/// gains or had, which are 1/n of all. With modulo hashing nearly every chat would lose its
+/// Handles every returning chat, on routers that share only the list of nodes. Prevents a
+/// change of the list from moving all chats: a node that joins or leaves moves only the keys that
+/// it gains or had, which are 1/n of all. With modulo hashing nearly every chat would lose its
 /// context.
 ///
 /// \param weight capacity relative to the other nodes; must be positive.
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -59,8 +59,8 @@
 constexpr std::size_t MaxToldRecords = 8;
 constexpr std::size_t MaxToldEnds = 8;
 
-/// Maximum number of first incidents that takeFirstEnds() returns in one call. One crash
-/// only causes more when the replica ran more requests than this at the same time.
+/// Maximum number of first incidents that takeFirstEnds() returns in one call. One crash only
+/// causes more when the replica ran more requests than this at the same time.
 constexpr std::size_t MaxToldFirstEnds = 64;
 
 /// No router remembers a crash for this long, so an update with a higher age is invalid.
@@ -205,9 +205,9 @@
     }
 }
 
-/// \returns whether the replica was still running when the request was sent. One that is
-/// recorded more than EndSpread after the first crash of this incarnation comes from a request that
-/// was sent to the crashed replica, behind a proxy that still accepted connections.
+/// \returns whether the replica was still running when the request was sent. One that is recorded
+/// more than EndSpread after the first crash of this incarnation comes from a request that was sent
+/// to the crashed replica, behind a proxy that still accepted connections.
 bool RequestQuarantine::wasRunning(const ReplicaEnd &end) const
 {
     const auto first = m_firstEnds.find(end.replica);
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -35,8 +35,8 @@
 /// \brief Holds back requests that crash the replicas that run them, at every router of the fleet.
 ///
 /// Handles a request whose input crashes the software that runs it and that is sent repeatedly
-/// among the usual traffic. Prevents that each of its runs makes a replica unavailable for seconds,
-/// together with all other requests on it, until the service has no replica left.
+/// among the usual traffic. Prevents its runs from terminating one replica after another, each for
+/// several seconds and with all other requests on it, until the service has no replica left.
 ///
 /// Every request in progress on a crashed replica is suspected, although most of them are harmless.
 /// Three rules separate them:
@@ -68,7 +68,7 @@
         const Clock &clock;
         RandomSource random;
         /// Returns the number of routers that may each try the request after its hold time. Their
-        /// trials are spread over time.
+        /// trials are distributed over time.
         std::function<int()> routers = [] { return 1; };
         /// Called when updates should be announced to the other routers at once.
         std::function<void()> hasNews = {};
--- a/src/Decide/RetryBudget.h
+++ b/src/Decide/RetryBudget.h
@@ -6,9 +6,9 @@
 
 /// \brief Limits retries to a share of the first attempts.
 ///
-/// Handles an upstream that fails many requests at once. Prevents that unlimited retries multiply
-/// the traffic while the pool has the least capacity. The budget covers the whole traffic of the
-/// pool, because a limit per request would not bound the total.
+/// Handles an upstream that fails many requests at once. Prevents unlimited retries from
+/// multiplying the traffic while the pool has the least capacity. The budget covers the whole
+/// traffic of the pool, because a limit per request would not bound the total.
 class RetryBudget
 {
 public:
