--- a/src/Decide/Dispatcher.h
+++ b/src/Decide/Dispatcher.h
@@ -142,7 +142,8 @@
     RetryBudget m_retries;
     std::vector<RouterView> m_routers;
     ChatOrder m_routerOrder;
-    std::map<std::string, TimePoint> m_suspects; ///< Owners that failed a relay: excluded until.
+    /// Owners that failed a relay, and until when each is excluded.
+    std::map<std::string, TimePoint> m_suspects;
     std::unordered_map<JobId, Running> m_running;
     std::map<std::string, int> m_inFlight; ///< Waiting and running jobs, by workspace.
     std::deque<std::pair<Decided, Result<Assignment>>> m_ready;
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -41,7 +41,7 @@
 /// Every request in progress on a crashed replica is suspected, although most of them are harmless.
 /// Three rules separate them:
 /// - A completed run clears its request. Harmless requests that many callers send complete often.
-/// - Crashes that occur close in time count as one incident, so that the loss of a rack does not
+/// - Crashes that occur close in time form one incident, so that the loss of a rack does not
 ///   cause any request to be held back.
 /// - If two requests share crashes, only the one with more incidents is held back, and only after
 ///   the updates of other routers had time to arrive. A request that was wrongly held back is
