--- a/src/Decide/AdmissionQueue.h
+++ b/src/Decide/AdmissionQueue.h
@@ -29,8 +29,8 @@
     {
         Job job;
         Decided decided;
-        TimePoint since;
-        TimePoint limit; ///< When it is refused if no upstream was found.
+        TimePoint submittedAt;
+        TimePoint expiresAt; ///< When it is refused if no upstream was found.
     };
 
     /// \brief Uses the rules and workspaces of \a inventory from now on.
@@ -62,7 +62,7 @@
     Duration expectedWait(std::size_t jobs) const;
 
     /// \returns when the next job expires; TimePoint::max() if the queue is empty.
-    TimePoint firstLimit() const;
+    TimePoint nextExpiry() const;
 
     std::size_t size() const { return m_byId.size(); }
     bool empty() const { return m_byId.empty(); }
@@ -89,7 +89,7 @@
         std::set<FlowKey> flows; ///< Flows with jobs, ordered by virtual start time.
     };
 
-    struct Place
+    struct Position
     {
         std::string workspace;
         std::list<Entry>::iterator it;
@@ -99,17 +99,18 @@
     Flow &flowOf(const std::string &workspace);
     Class &classOf(const Flow &flow) { return m_classes[flow.isProtected ? 0 : 1]; }
     const Flow *nextFlow() const;
-    Entry takeOut(Flow &flow, std::list<Entry>::iterator it);
+    Entry removeEntry(Flow &flow, std::list<Entry>::iterator it);
     Error fullError(const Flow &flow) const;
     std::pair<Entry, Error> shed();
 
     InventoryPtr m_inventory;
     std::map<std::string, Flow> m_flows;
     Class m_classes[2]; ///< Protected workspaces, then all others.
-    std::map<JobId, Place> m_byId;
-    std::set<std::pair<TimePoint, JobId>> m_limits;
+    std::map<JobId, Position> m_byId;
+    std::set<std::pair<TimePoint, JobId>> m_expiries;
     double m_classTime = 0;
-    double m_interval = 0; ///< Moving average of the seconds between completions; 0: unknown.
+    double m_completionInterval =
+            0; ///< Moving average of the seconds between completions; 0: unknown.
     TimePoint m_lastCompletion;
 };
 
--- a/src/Decide/CrashRecord.h
+++ b/src/Decide/CrashRecord.h
@@ -11,7 +11,7 @@
 namespace catkinloft {
 
 /// \brief A replica process that terminated while it worked on a request.
-struct ReplicaEnd
+struct ReplicaCrash
 {
     std::string replica = {}; ///< Incarnation of the replica.
     std::string software = {}; ///< \sa ReplicaRecord::software
@@ -26,19 +26,19 @@
 {
 public:
     /// Maximum number of stored crashes. A full record keeps the oldest ones and the latest one.
-    static constexpr std::size_t MaxEnds = 8;
+    static constexpr std::size_t MaxCrashes = 8;
 
     /// Crashes that follow each other within this time belong to one incident, because the loss of
     /// a rack terminates several replicas, with all requests that run on them, at the same time.
-    static constexpr Duration MomentGap = std::chrono::milliseconds(100);
+    static constexpr Duration IncidentGap = std::chrono::milliseconds(100);
 
     /// Maximum duration of one incident. Without it, a fatal request that is sent without pause
     /// would crash replicas in close succession and count as a single incident.
-    static constexpr Duration MaxMoment = std::chrono::milliseconds(500);
+    static constexpr Duration MaxIncidentTime = std::chrono::milliseconds(500);
 
     /// \brief Adds the crash \a end.
     /// \returns whether the record changed.
-    bool add(const ReplicaEnd &end);
+    bool add(const ReplicaCrash &end);
 
     /// \brief Records that a run completed at \a at, and removes all crashes up to that time.
     /// \returns whether the record changed.
@@ -49,7 +49,7 @@
     bool merge(const CrashRecord &other);
 
     /// \returns the number of incidents among the crashes for which \a counts returns true.
-    int moments(const std::function<bool(const ReplicaEnd &)> &counts) const;
+    int incidents(const std::function<bool(const ReplicaCrash &)> &counts) const;
 
     /// \returns whether the record contains a crash of \a replica.
     bool has(std::string_view replica) const;
@@ -58,16 +58,16 @@
     bool hasSoftware(std::string_view software) const;
 
     /// \returns the crashes, oldest first.
-    std::span<const ReplicaEnd> ends() const { return m_ends; }
+    std::span<const ReplicaCrash> replicaCrashes() const { return m_crashes; }
 
     /// \returns when a run last completed; TimePoint::min() if no completed run is known.
     TimePoint clearedAt() const { return m_clearedAt; }
 
     /// \returns the time of the last crash or completed run; TimePoint::min() if there is none.
-    TimePoint newest() const;
+    TimePoint lastEventAt() const;
 
 private:
-    std::vector<ReplicaEnd> m_ends;
+    std::vector<ReplicaCrash> m_crashes;
     TimePoint m_clearedAt = TimePoint::min();
 };
 
--- a/src/Decide/Dispatcher.h
+++ b/src/Decide/Dispatcher.h
@@ -47,7 +47,7 @@
         RandomSource random;
         std::string self; ///< Name of this router.
         std::string failureDomain = {}; ///< Of this router.
-        int ownerGroup = OwnerGroups::UsualSize; ///< Upstreams per group of one owner.
+        int ownerGroup = OwnerGroups::DefaultSize; ///< Upstreams per group of one owner.
     };
 
     /// \brief Numbers of decisions so far. They never decrease.
@@ -55,7 +55,7 @@
     {
         std::uint64_t placed = 0; ///< Assigned to an upstream or an owner.
         std::uint64_t relayed = 0; ///< Of these, relayed to the owner of the engine.
-        std::uint64_t guests = 0; ///< Of these, on an engine that another router owns.
+        std::uint64_t unowned = 0; ///< Of these, on an engine that another router owns.
         std::uint64_t overflowed = 0; ///< Of these, not on the first usable engine of the chat.
         std::uint64_t queued = 0;
         std::uint64_t refused = 0;
@@ -123,11 +123,11 @@
     void suspect(const std::string &owner, TimePoint now);
     const RouterView *ownerOf(std::size_t upstream) const;
     Result<void> admit(const Job &job);
-    bool place(const Job &job, TimePoint since, const Decided &decided, std::size_t hint);
-    bool relayToFirst(const Job &job, const Decided &decided);
-    void assign(const Job &job, TimePoint since, const Decided &decided, std::size_t i);
+    bool place(const Job &job, TimePoint submittedAt, const Decided &decided, std::size_t hint);
+    bool relayToFirstOwner(const Job &job, const Decided &decided);
+    void assign(const Job &job, TimePoint submittedAt, const Decided &decided, std::size_t i);
     void enqueue(Job job, Decided decided);
-    void drain(std::size_t hint);
+    void placeQueued(std::size_t hint);
     void refuse(const std::string &workspace, const Decided &decided, Error error);
     Error expiredError(const AdmissionQueue::Entry &entry) const;
     Error noUpstreamError() const;
@@ -146,7 +146,7 @@
     std::map<std::string, TimePoint> m_suspects;
     std::unordered_map<JobId, Running> m_running;
     std::map<std::string, int> m_inFlight; ///< Waiting and running jobs, by workspace.
-    std::deque<std::pair<Decided, Result<Assignment>>> m_ready;
+    std::deque<std::pair<Decided, Result<Assignment>>> m_pendingDecisions;
     bool m_flushing = false;
     TimePoint m_refreshAt;
     Counters m_counters;
--- a/src/Decide/Job.h
+++ b/src/Decide/Job.h
@@ -44,7 +44,7 @@
     Duration total = Duration::zero();
     /// The failure is no evidence against this upstream, because the request had failed on another
     /// upstream before, or its deadline passed while the answer was being received.
-    bool blameless = false;
+    bool ignoredForHealth = false;
 };
 
 } // namespace catkinloft
--- a/src/Decide/OwnerGroups.h
+++ b/src/Decide/OwnerGroups.h
@@ -23,12 +23,12 @@
 public:
     /// A pool of up to 16 upstreams has a single owner, so that its load is counted exactly. In the
     /// largest pools each router still owns only one group of about 11 upstreams.
-    static constexpr int UsualSize = 16;
+    static constexpr int DefaultSize = 16;
 
     /// \param pool hash of the pool's name, so that pools with a single group get different owners.
     /// \param upstreams number of upstreams in the pool.
     /// \param size maximum average number of upstreams in a group; 1: each upstream is a group.
-    OwnerGroups(std::uint64_t pool, std::size_t upstreams, int size = UsualSize)
+    OwnerGroups(std::uint64_t pool, std::size_t upstreams, int size = DefaultSize)
         : m_pool(pool), m_single(size == 1)
     {
         while (upstreams >> m_bits > static_cast<std::size_t>(size) && m_bits < MaxBits)
--- a/src/Decide/Placement.h
+++ b/src/Decide/Placement.h
@@ -45,7 +45,7 @@
         const Clock &clock;
         RandomSource random;
         std::string failureDomain; ///< Of this router.
-        int ownerGroup = OwnerGroups::UsualSize;
+        int ownerGroup = OwnerGroups::DefaultSize;
     };
 
     /// \brief The load that start() added, which stop() subtracts.
@@ -83,10 +83,10 @@
 
     /// \returns the first usable upstream in the order of \a job, even if it has no capacity; None
     /// if there is none.
-    std::size_t firstOf(const Job &job);
+    std::size_t firstUsable(const Job &job);
 
     /// \returns whether the pool has an upstream that is neither leaving nor excluded for \a job.
-    bool anyFor(const Job &job);
+    bool hasCandidate(const Job &job);
 
     /// \brief Adds \a job to the load of upstream \a i. The owner counts a relayed job
     /// instead.
@@ -116,7 +116,7 @@
     const HealthTracker::Entry &healthOf(std::size_t i) const { return m_states[i].health; }
 
 private:
-    struct Heard
+    struct PeerLoad
     {
         std::uint64_t router = 0;
         double work = 0;
@@ -131,20 +131,20 @@
         std::uint64_t group = 0;
         double work = 0; ///< In progress, sent by this router.
         int inFlight = 0;
-        std::vector<Heard> heard;
-        double heardWork = 0;
-        int heardInFlight = 0;
+        std::vector<PeerLoad> peerLoads;
+        double peerWork = 0;
+        int peerInFlight = 0;
         HealthTracker::Entry health;
         ConcurrencyLimit limit;
         bool owned = true;
-        bool counted = false; ///< Included in the totals.
+        bool countsInMean = false; ///< Included in the totals.
         double ramp = 1; ///< Slow-start factor when it was last computed.
         TimePoint lastBusy;
     };
 
-    bool inUse(const State &it) const;
-    static double seenWork(const State &it);
-    static int seenInFlight(const State &it);
+    bool isUsable(const State &it) const;
+    static double knownWork(const State &it);
+    static int knownInFlight(const State &it);
     bool fits(std::size_t i, const Job &job);
     static bool isExcluded(const State &it, const Job &job);
     void buildGroups(std::uint64_t pool);
@@ -153,7 +153,7 @@
     std::size_t scan(const Job &job, std::size_t first);
     void addToTotals(State &it, double sign);
     void recount();
-    static void sumHeard(State &it);
+    static void sumPeerLoads(State &it);
     void joined(State &it, const std::string &name);
 
     Options m_options;
@@ -174,7 +174,7 @@
     double m_totalWork = 0;
     double m_totalWeight = 0;
     double m_rampedWeight = 0;
-    bool m_first = true;
+    bool m_isInitial = true;
 };
 
 } // namespace catkinloft
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -18,9 +18,9 @@
 
 /// \brief What one router announces to the others about a request that may crash replicas. Times
 /// are sent as ages because the clocks of routers differ.
-struct CrashNews
+struct CrashUpdate
 {
-    struct End
+    struct Crash
     {
         std::string replica = {}; ///< Incarnation of the replica.
         std::string software = {}; ///< \sa ReplicaRecord::software
@@ -29,7 +29,7 @@
 
     std::string fingerprint = {}; ///< Of the request.
     std::optional<Duration> clearedAge = {}; ///< Time after the last completed run, if any.
-    std::vector<End> ends = {};
+    std::vector<Crash> replicaCrashes = {};
 };
 
 /// \brief Holds back requests that crash the replicas that run them, at every router of the fleet.
@@ -57,11 +57,11 @@
 public:
     /// Number of incidents after which a request is held back. Two incidents also happen to a
     /// harmless request that was retried after the first one.
-    static constexpr int MinMoments = 3;
+    static constexpr int MinIncidents = 3;
 
-    /// How long a request is held back after its last crash when it has MinMoments incidents. The
+    /// How long a request is held back after its last crash when it has MinIncidents incidents. The
     /// time doubles with each further incident.
-    static constexpr Duration HoldTime = std::chrono::minutes(10);
+    static constexpr Duration MinHoldTime = std::chrono::minutes(10);
 
     struct Options
     {
@@ -71,7 +71,7 @@
         /// trials are distributed over time.
         std::function<int()> routers = [] { return 1; };
         /// Called when updates should be announced to the other routers at once.
-        std::function<void()> hasNews = {};
+        std::function<void()> announceNow = {};
         std::size_t maxRecords = 4096; ///< Maximum number of stored requests.
     };
 
@@ -105,8 +105,8 @@
 
     /// \brief Records that \a replica, which ran \a software, crashed while it worked on request
     /// \a fingerprint.
-    void replicaEnded(const std::string &fingerprint, const std::string &replica,
-                      const std::string &software);
+    void replicaCrashed(const std::string &fingerprint, const std::string &replica,
+                        const std::string &software);
 
     /// \brief Records that a run of request \a fingerprint completed, which clears the request.
     void completed(const std::string &fingerprint);
@@ -116,15 +116,15 @@
     int suspicion(const std::string &fingerprint) const;
 
     /// \brief Merges the updates that another router sent.
-    void merge(std::span<const CrashNews> news);
+    void merge(std::span<const CrashUpdate> updates);
 
     /// \returns the updates that the next message to all other routers has to carry, and counts
     /// them as sent.
-    std::vector<CrashNews> takeNews();
+    std::vector<CrashUpdate> takeUpdates();
 
     /// \returns the updates about requests with a single incident, and counts them as sent. Each
     /// goes only to the routers that hold the evidence of its request.
-    std::vector<CrashNews> takeFirstEnds();
+    std::vector<CrashUpdate> takeFirstCrashes();
 
     /// \returns all requests that are held back.
     std::vector<Hold> held() const;
@@ -136,46 +136,47 @@
     struct Entry
     {
         CrashRecord record = {};
-        int moments = 0; ///< Number of incidents.
-        int unexplained = 0; ///< Incidents that no held request explains.
+        int incidents = 0; ///< Number of incidents.
+        int unexplainedIncidents = 0; ///< Incidents that no held request explains.
         bool isHeld = false;
         TimePoint heldAt = {}; ///< When it was last put on hold.
-        bool concernsAll = false; ///< Has had at least two incidents, so that all routers need it.
-        int toTell = 0; ///< Number of messages that still have to carry it.
-        TimePoint toldAt = {};
-        double turn = 0; ///< Random share of the maximum trial delay, from 0 to 1.
+        bool announceToAll =
+                false; ///< Has had at least two incidents, so that all routers need it.
+        int remainingSends = 0; ///< Number of messages that still have to carry it.
+        TimePoint lastSentAt = {};
+        double trialPosition = 0; ///< Random share of the maximum trial delay, from 0 to 1.
         std::optional<TimePoint> softwareGoneAt = {}; ///< Since when no replica runs that software.
-        TimePoint triedUntil = TimePoint::min(); ///< When the running trial times out.
+        TimePoint trialEndsAt = TimePoint::min(); ///< When the running trial times out.
     };
     using Records = std::unordered_map<std::string, Entry>;
 
-    void spread(Entry &entry, bool isOwn);
-    void repeatOne(TimePoint now);
-    void noteFirstEnds(const CrashRecord &record);
-    bool wasRunning(const ReplicaEnd &end) const;
-    void count(Entry &entry) const;
+    void scheduleAnnouncement(Entry &entry, bool isOwn);
+    void reannounceOne(TimePoint now);
+    void updateCrashTimes(const CrashRecord &record);
+    bool wasRunning(const ReplicaCrash &end) const;
+    void countIncidents(Entry &entry) const;
     void update(Entry &entry);
     void decide();
-    bool isUndecided(const Entry &entry, std::span<Records::value_type *const> suspects) const;
+    bool isTied(const Entry &entry, std::span<Records::value_type *const> suspects) const;
     void setHeld(const std::string &fingerprint, Entry &entry, bool held);
-    Entry &entryOf(const std::string &fingerprint);
-    void makeRoom();
-    void forgetOld();
+    Entry &findOrInsert(const std::string &fingerprint);
+    void evictRecords();
+    void removeExpired();
     Hold describe(const std::string &fingerprint, const Entry &entry) const;
     TimePoint settledAt(const Entry &entry) const;
-    TimePoint triableAt(const Entry &entry) const;
-    Duration turnDelay(const Entry &entry) const;
+    TimePoint trialAllowedAt(const Entry &entry) const;
+    Duration trialDelay(const Entry &entry) const;
     static Duration holdTime(const Entry &entry);
     static Duration lifetime(const Entry &entry);
-    CrashNews newsOf(const std::string &fingerprint, const Entry &entry) const;
-    static CrashRecord recordOf(const CrashNews &news, TimePoint now);
+    CrashUpdate makeUpdate(const std::string &fingerprint, const Entry &entry) const;
+    static CrashRecord toRecord(const CrashUpdate &updates, TimePoint now);
 
     Options m_options;
     Records m_records; ///< By fingerprint.
     std::set<std::string, std::less<>> m_explained; ///< Replicas that held requests crashed.
     /// When each replica crashed, by incarnation: the earliest time that any router observed.
-    std::unordered_map<std::string, TimePoint> m_firstEnds;
-    TimePoint m_repeatedAt = TimePoint::min(); ///< When reannounceOne() last chose a request.
+    std::unordered_map<std::string, TimePoint> m_crashTimes;
+    TimePoint m_reannouncedAt = TimePoint::min(); ///< When reannounceOne() last chose a request.
 };
 
 } // namespace catkinloft
--- a/src/Decide/RetryBudget.h
+++ b/src/Decide/RetryBudget.h
@@ -15,7 +15,7 @@
     /// \brief Sets the number of retries per first attempt, from `rules.retry_share`.
     void setShare(double share) { m_share = share; }
 
-    void recordFirstAttempt() { m_tokens = std::min(m_tokens + m_share, Reserve); }
+    void recordFirstAttempt() { m_tokens = std::min(m_tokens + m_share, MaxTokens); }
 
     /// \brief Takes one retry from the budget.
     /// \returns whether the retry is allowed.
@@ -32,10 +32,10 @@
 private:
     // Enough for the requests in progress on one crashed engine of a pool with little traffic. A
     // higher value would allow a burst of retries after a long time without failures.
-    static constexpr double Reserve = 32;
+    static constexpr double MaxTokens = 32;
 
     double m_share = 0.1;
-    double m_tokens = Reserve;
+    double m_tokens = MaxTokens;
 };
 
 } // namespace catkinloft
--- a/test/FakeEngines.h
+++ b/test/FakeEngines.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/ManualClock.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
 
 #include <algorithm>
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace catkinloft {
 
-/// \brief In-memory engines and weight store that implement EnginePort for tests of the
+/// \brief In-memory engines and weight store that implement EngineClient for tests of the
 /// controllers. Answers are delivered by deliver(). Orders of one kind can be held back, to arrive
 /// late.
-class FakeEngines final : public EnginePort
+class FakeEngines final : public EngineClient
 {
 public:
     struct Machine
@@ -49,7 +49,7 @@
                 address, [done](Machine &it) { done(it.state); }, done);
     }
 
-    void give(std::string address, EngineOrder order, Callback<OrderAnswer> done) override
+    void sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done) override
     {
         const bool isLoad = order.kind == OrderKind::LoadModel;
         if (isLoad)
@@ -90,7 +90,7 @@
                 done);
     }
 
-    void askWeights(std::string, std::string, Callback<void> done) override
+    void requestWeights(std::string, std::string, Callback<void> done) override
     {
         if (clock && m_openAt == TimePoint())
             m_openAt = clock->now() + weightStoreClosedFor;
