--- a/src/Decide/CrashRecord.cpp
+++ b/src/Decide/CrashRecord.cpp
@@ -4,13 +4,13 @@
 
 namespace catkinloft {
 
-bool CrashRecord::add(const ReplicaCrash &end)
+bool CrashRecord::add(const ReplicaCrash &crash)
 {
-    if (has(end.replica) || end.at <= m_clearedAt)
+    if (has(crash.replica) || crash.at <= m_clearedAt)
         return false;
     const auto before = [](const ReplicaCrash &a, const ReplicaCrash &b) { return a.at < b.at; };
     const auto position = m_crashes.insert(
-            std::upper_bound(m_crashes.begin(), m_crashes.end(), end, before), end);
+            std::upper_bound(m_crashes.begin(), m_crashes.end(), crash, before), crash);
     if (m_crashes.size() <= MaxCrashes)
         return true;
     // The last crash is kept because it determines how long the request is held back.
--- a/src/Decide/CrashRecord.h
+++ b/src/Decide/CrashRecord.h
@@ -36,9 +36,9 @@
     /// would crash replicas in close succession and count as a single incident.
     static constexpr Duration MaxIncidentTime = std::chrono::milliseconds(500);
 
-    /// \brief Adds the crash \a end.
+    /// \brief Adds the crash \a crash.
     /// \returns whether the record changed.
-    bool add(const ReplicaCrash &end);
+    bool add(const ReplicaCrash &crash);
 
     /// \brief Records that a run completed at \a at, and removes all crashes up to that time.
     /// \returns whether the record changed.
--- a/src/Decide/Placement.cpp
+++ b/src/Decide/Placement.cpp
@@ -99,17 +99,16 @@
             continue;
         State &it = m_states[found->second];
         const std::uint64_t router = hash64(report.router);
-        auto peerLoads = std::find_if(it.peerLoads.begin(), it.peerLoads.end(),
-                                      [&](const PeerLoad &h) { return h.router == router; });
-        if (peerLoads == it.peerLoads.end())
-            peerLoads =
-                    it.peerLoads.insert(it.peerLoads.end(), PeerLoad{.router = router, .at = {}});
-        else if (peerLoads->at >= report.measuredAt)
+        auto known = std::find_if(it.peerLoads.begin(), it.peerLoads.end(),
+                                  [&](const PeerLoad &h) { return h.router == router; });
+        if (known == it.peerLoads.end())
+            known = it.peerLoads.insert(it.peerLoads.end(), PeerLoad{.router = router, .at = {}});
+        else if (known->at >= report.measuredAt)
             continue;
         addToTotals(it, -1);
-        peerLoads->work = report.work;
-        peerLoads->inFlight = report.inFlight;
-        peerLoads->at = report.measuredAt;
+        known->work = report.work;
+        known->inFlight = report.inFlight;
+        known->at = report.measuredAt;
         sumPeerLoads(it);
         addToTotals(it, 1);
     }
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -128,8 +128,8 @@
 
 Duration RequestQuarantine::trialDelay(const Entry &entry) const
 {
-    const Duration all = std::min<Duration>(MinHoldTime, TrialSpacing * m_options.routers());
-    return scaled(all, entry.trialPosition);
+    const Duration maxDelay = std::min<Duration>(MinHoldTime, TrialSpacing * m_options.routers());
+    return scaled(maxDelay, entry.trialPosition);
 }
 
 Duration RequestQuarantine::holdTime(const Entry &entry)
@@ -208,18 +208,18 @@
 /// \returns whether the replica was still running when the request was sent. One that is recorded
 /// more than CrashDetectionSpread after the first crash of this incarnation comes from a request
 /// that was sent to the crashed replica, behind a proxy that still accepted connections.
-bool RequestQuarantine::wasRunning(const ReplicaCrash &end) const
+bool RequestQuarantine::wasRunning(const ReplicaCrash &crash) const
 {
-    const auto first = m_crashTimes.find(end.replica);
-    return first == m_crashTimes.end() || end.at - first->second <= CrashDetectionSpread;
+    const auto first = m_crashTimes.find(crash.replica);
+    return first == m_crashTimes.end() || crash.at - first->second <= CrashDetectionSpread;
 }
 
 void RequestQuarantine::countIncidents(Entry &entry) const
 {
     entry.incidents =
-            entry.record.incidents([this](const ReplicaCrash &end) { return wasRunning(end); });
-    entry.unexplainedIncidents = entry.record.incidents([this](const ReplicaCrash &end) {
-        return wasRunning(end) && !m_explained.contains(end.replica);
+            entry.record.incidents([this](const ReplicaCrash &crash) { return wasRunning(crash); });
+    entry.unexplainedIncidents = entry.record.incidents([this](const ReplicaCrash &crash) {
+        return wasRunning(crash) && !m_explained.contains(crash.replica);
     });
 }
 
@@ -250,9 +250,9 @@
         const bool held = entry.unexplainedIncidents >= MinIncidents && !isTied(entry, suspects);
         if (held != entry.isHeld)
             setHeld(it->first, entry, held);
-        for (const ReplicaCrash &end : entry.record.replicaCrashes()) {
+        for (const ReplicaCrash &crash : entry.record.replicaCrashes()) {
             if (held)
-                m_explained.insert(end.replica);
+                m_explained.insert(crash.replica);
         }
     }
     for (auto &[fingerprint, entry] : m_records)
@@ -267,12 +267,12 @@
 {
     if (entry.incidents > MinIncidents)
         return false;
-    const auto shares = [&](const ReplicaCrash &end) { return entry.record.has(end.replica); };
+    const auto shares = [&](const ReplicaCrash &crash) { return entry.record.has(crash.replica); };
     return std::any_of(suspects.begin(), suspects.end(), [&](const Records::value_type *it) {
         const Entry &other = it->second;
-        const std::span<const ReplicaCrash> replicaCrashes = other.record.replicaCrashes();
+        const std::span<const ReplicaCrash> otherCrashes = other.record.replicaCrashes();
         return &other != &entry && other.incidents >= entry.incidents
-                && std::any_of(replicaCrashes.begin(), replicaCrashes.end(), shares);
+                && std::any_of(otherCrashes.begin(), otherCrashes.end(), shares);
     });
 }
 
@@ -363,12 +363,12 @@
     }
 }
 
-CrashRecord RequestQuarantine::toRecord(const CrashUpdate &updates, TimePoint now)
+CrashRecord RequestQuarantine::toRecord(const CrashUpdate &update, TimePoint now)
 {
     CrashRecord out;
-    if (updates.clearedAge && *updates.clearedAge <= MaxReceivedAge)
-        out.clear(now - *updates.clearedAge);
-    for (const CrashUpdate::Crash &it : updates.replicaCrashes) {
+    if (update.clearedAge && *update.clearedAge <= MaxReceivedAge)
+        out.clear(now - *update.clearedAge);
+    for (const CrashUpdate::Crash &it : update.replicaCrashes) {
         if (it.age <= MaxReceivedAge)
             out.add({.replica = it.replica, .software = it.software, .at = now - it.age});
     }
@@ -408,11 +408,11 @@
                 < std::tuple(-y.incidents, -y.remainingSends, y.lastSentAt);
     });
     std::vector<CrashUpdate> out;
-    std::size_t replicaCrashes = 0;
+    std::size_t crashCount = 0;
     for (Records::value_type *it : due) {
-        replicaCrashes += it->second.record.replicaCrashes().size();
+        crashCount += it->second.record.replicaCrashes().size();
         if (out.size() == MaxRecordsPerMessage
-            || (!out.empty() && replicaCrashes > MaxCrashesPerMessage))
+            || (!out.empty() && crashCount > MaxCrashesPerMessage))
             break;
         out.push_back(makeUpdate(it->first, it->second));
         --it->second.remainingSends;
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -140,8 +140,7 @@
         int unexplainedIncidents = 0; ///< Incidents that no held request explains.
         bool isHeld = false;
         TimePoint heldAt = {}; ///< When it was last put on hold.
-        bool announceToAll =
-                false; ///< Has had at least two incidents, so that all routers need it.
+        bool announceToAll = false; ///< Has had at least two incidents.
         int remainingSends = 0; ///< Number of messages that still have to carry it.
         TimePoint lastSentAt = {};
         double trialPosition = 0; ///< Random share of the maximum trial delay, from 0 to 1.
@@ -153,7 +152,7 @@
     void scheduleAnnouncement(Entry &entry, bool isOwn);
     void reannounceOne(TimePoint now);
     void updateCrashTimes(const CrashRecord &record);
-    bool wasRunning(const ReplicaCrash &end) const;
+    bool wasRunning(const ReplicaCrash &crash) const;
     void countIncidents(Entry &entry) const;
     void update(Entry &entry);
     void decide();
@@ -169,7 +168,7 @@
     static Duration holdTime(const Entry &entry);
     static Duration lifetime(const Entry &entry);
     CrashUpdate makeUpdate(const std::string &fingerprint, const Entry &entry) const;
-    static CrashRecord toRecord(const CrashUpdate &updates, TimePoint now);
+    static CrashRecord toRecord(const CrashUpdate &update, TimePoint now);
 
     Options m_options;
     Records m_records; ///< By fingerprint.
--- a/test/RequestQuarantineTest.cpp
+++ b/test/RequestQuarantineTest.cpp
@@ -61,8 +61,8 @@
     }
 
     /// Router \a i observes that a replica crashes while it runs all of \a requests.
-    void end(std::size_t i, std::initializer_list<std::string> requests,
-             const std::string &software = Old.front())
+    void crash(std::size_t i, std::initializer_list<std::string> requests,
+               const std::string &software = Old.front())
     {
         const std::string replica = fmt::format("i-{}", ++crashedCount);
         for (const std::string &it : requests)
@@ -88,11 +88,12 @@
 
 // Guards against a request that crashes replicas via different routers, none of which observes
 // enough crashes to hold it back.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_threeReplicasEnd_allRoutersHoldItBack")
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_threeReplicasCrash_allRoutersHoldItBack")
 {
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(heldBy(Fatal) == 0);
-        end(i, {Fatal});
+        crash(i, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -106,10 +107,11 @@
 
 // Guards against holding back a request that many callers send, which is in progress on any replica
 // that crashes.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_innocentCompletesBetweenEnds_isServed")
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_innocentCompletesBetweenCrashes_isServed")
 {
     for (int i = 0; i < 20; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent});
+        crash(static_cast<std::size_t>(i) % 4, {Innocent});
         exchangeUpdates();
         clock.advance(600ms);
         CHECK(heldBy(Innocent) == 0);
@@ -121,10 +123,10 @@
 
 // Guards against holding back the requests that were in progress on a lost rack.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_manyReplicasEndAtOnce_nothingIsHeldBack")
+                  "requestQuarantine_manyReplicasCrashAtOnce_nothingIsHeldBack")
 {
     for (int i = 0; i < 30; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
+        crash(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
         clock.advance(5ms);
     }
     exchangeUpdates();
@@ -134,16 +136,16 @@
 
 // Guards against holding back a request for crashes that another request caused.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_endsAreShared_onlyTheOneWithMoreIsHeld")
+                  "requestQuarantine_crashesAreShared_onlyTheOneWithMoreIsHeld")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i, {Innocent, Fatal});
+        crash(i, {Innocent, Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
-    end(3, {Fatal});
+    crash(3, {Fatal});
     exchangeUpdates();
     clock.advance(200ms);
     CHECK(heldBy(Innocent) == 0);
@@ -155,7 +157,7 @@
                   "requestQuarantine_routerStartsLater_learnsWhatIsHeldBack")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -169,10 +171,10 @@
 }
 
 // Guards against simultaneous trials by all routers when the hold time of a request is over.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_timeIsOver_routersTryItInTurn")
+TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_holdTimeIsOver_routersTryItInTurn")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -183,7 +185,7 @@
             if (routers[k]->admit(Fatal, Old))
                 continue;
             ++trials;
-            end(k, {Fatal});
+            crash(k, {Fatal});
             exchangeUpdates();
         }
         clock.advance(100ms);
@@ -195,7 +197,7 @@
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftware_isTriedAndServedAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -216,10 +218,11 @@
     CHECK(heldBy(Fatal, Old) == 0);
 }
 
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftwareEndsToo_isHeldBackAgain")
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_otherSoftwareCrashesToo_isHeldBackAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -229,7 +232,7 @@
             if (routers[k]->admit(Fatal, New))
                 continue;
             ++trials;
-            end(k, {Fatal}, New.front());
+            crash(k, {Fatal}, New.front());
             exchangeUpdates();
         }
         clock.advance(100ms);
@@ -243,11 +246,11 @@
 {
     QuarantineFleetFixture fleet(2);
     for (int i = 0; i < 3; ++i) {
-        fleet.end(0, {Fatal});
+        fleet.crash(0, {Fatal});
         fleet.clock.advance(300ms);
     }
     for (int i = 0; i < 20'000; ++i)
-        fleet.end(0, {fmt::format("suspect-{:016}", i)});
+        fleet.crash(0, {fmt::format("suspect-{:016}", i)});
     CHECK(fleet.routers[0]->size() <= 4096);
     for (int i = 0; i < 100; ++i) {
         fleet.exchangeUpdates();
@@ -306,7 +309,7 @@
 TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_largeFleet_allHoldItBackWithinThreeSeconds")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i * 300, {Fatal});
+        crash(i * 300, {Fatal});
         announceFrom(i * 300, UrgentFanout);
         heartbeat();
     }
@@ -317,11 +320,12 @@
 
 // Guards against a flood of messages when a failure domain is lost with all requests in progress
 // there.
-TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_failureDomainLost_onlyKeepersAreTold")
+TEST_CASE_FIXTURE(LargeFleetFixture,
+                  "requestQuarantine_failureDomainLost_onlyHoldersReceiveUpdates")
 {
     constexpr std::size_t Suspects = 9'000;
     for (std::size_t i = 0; i < Suspects; ++i)
-        end(i % Routers, {fmt::format("suspect-{:016}", i)});
+        crash(i % Routers, {fmt::format("suspect-{:016}", i)});
     for (int i = 0; i < 10; ++i)
         heartbeat();
     CHECK(messages <= 2 * Holders * Suspects);
