--- a/src/Decide/AdmissionQueue.h
+++ b/src/Decide/AdmissionQueue.h
@@ -109,8 +109,7 @@
     std::map<JobId, Position> m_byId;
     std::set<std::pair<TimePoint, JobId>> m_expiries;
     double m_classTime = 0;
-    double m_completionInterval =
-            0; ///< Moving average of the seconds between completions; 0: unknown.
+    double m_completionInterval = 0; ///< Moving average in seconds; 0: unknown.
     TimePoint m_lastCompletion;
 };
 
--- a/src/Decide/CrashRecord.h
+++ b/src/Decide/CrashRecord.h
@@ -36,7 +36,7 @@
     /// would crash replicas in close succession and count as a single incident.
     static constexpr Duration MaxIncidentTime = std::chrono::milliseconds(500);
 
-    /// \brief Adds the crash \a crash.
+    /// \brief Adds \a crash.
     /// \returns whether the record changed.
     bool add(const ReplicaCrash &crash);
 
--- a/src/Decide/Placement.cpp
+++ b/src/Decide/Placement.cpp
@@ -99,16 +99,16 @@
             continue;
         State &it = m_states[found->second];
         const std::uint64_t router = hash64(report.router);
-        auto known = std::find_if(it.peerLoads.begin(), it.peerLoads.end(),
-                                  [&](const PeerLoad &h) { return h.router == router; });
-        if (known == it.peerLoads.end())
-            known = it.peerLoads.insert(it.peerLoads.end(), PeerLoad{.router = router, .at = {}});
-        else if (known->at >= report.measuredAt)
+        auto stored = std::find_if(it.peerLoads.begin(), it.peerLoads.end(),
+                                   [&](const PeerLoad &h) { return h.router == router; });
+        if (stored == it.peerLoads.end())
+            stored = it.peerLoads.insert(it.peerLoads.end(), PeerLoad{.router = router, .at = {}});
+        else if (stored->at >= report.measuredAt)
             continue;
         addToTotals(it, -1);
-        known->work = report.work;
-        known->inFlight = report.inFlight;
-        known->at = report.measuredAt;
+        stored->work = report.work;
+        stored->inFlight = report.inFlight;
+        stored->at = report.measuredAt;
         sumPeerLoads(it);
         addToTotals(it, 1);
     }
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -363,12 +363,12 @@
     }
 }
 
-CrashRecord RequestQuarantine::toRecord(const CrashUpdate &update, TimePoint now)
+CrashRecord RequestQuarantine::toRecord(const CrashUpdate &crashUpdate, TimePoint now)
 {
     CrashRecord out;
-    if (update.clearedAge && *update.clearedAge <= MaxReceivedAge)
-        out.clear(now - *update.clearedAge);
-    for (const CrashUpdate::Crash &it : update.replicaCrashes) {
+    if (crashUpdate.clearedAge && *crashUpdate.clearedAge <= MaxReceivedAge)
+        out.clear(now - *crashUpdate.clearedAge);
+    for (const CrashUpdate::Crash &it : crashUpdate.replicaCrashes) {
         if (it.age <= MaxReceivedAge)
             out.add({.replica = it.replica, .software = it.software, .at = now - it.age});
     }
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -168,7 +168,7 @@
     static Duration holdTime(const Entry &entry);
     static Duration lifetime(const Entry &entry);
     CrashUpdate makeUpdate(const std::string &fingerprint, const Entry &entry) const;
-    static CrashRecord toRecord(const CrashUpdate &update, TimePoint now);
+    static CrashRecord toRecord(const CrashUpdate &crashUpdate, TimePoint now);
 
     Options m_options;
     Records m_records; ///< By fingerprint.
