--- a/src/Control/EntryDirectory.cpp
+++ b/src/Control/EntryDirectory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Fewer addresses leave a caller without a choice when one has just stopped.
+/// With fewer addresses, a caller may have no alternative if a router has just stopped.
 constexpr std::size_t MinAddresses = 3;
 
 } // namespace
@@ -28,7 +28,7 @@
         if (it->beat.ready)
             ready.push_back(running.back());
     }
-    // They start together with this one, and most are ready by the time that a caller connects.
+    // These routers start together with this one; most are ready when a caller connects.
     for (const RegisteredRouter &it : m_options.fleet.unheardToName())
         ready.push_back({it.callerAddress, it.processorShare});
     return sample(ready.empty() ? std::move(running) : std::move(ready), most);
--- a/src/Control/EntryDirectory.h
+++ b/src/Control/EntryDirectory.h
@@ -11,14 +11,14 @@
 
 namespace catkinloft {
 
-/// \brief Which addresses callers are told to use.
+/// \brief Chooses the router addresses that are given to callers.
 ///
-/// Load: callers that ask one router and keep the answer for seconds, some three times as long.
-/// Harm prevented: callers that are sent to a router that stops, or that can't prove its
-/// configuration, lose their time on refusals; callers pick any address of an answer, so that a VM
-/// of an eighth of a core would get as many as one of half a core. So an answer names each router
-/// with the chance that its share of the processor is of the largest. The answer is a hint: a
-/// router that is not named still serves.
+/// Handles callers that query one router and keep the answer for seconds, some of them three times
+/// longer than allowed. Prevents that callers lose time on refusals of a router that stops or that
+/// cannot prove that its configuration is current. Callers pick any address of an answer, so a VM with
+/// an eighth of a core would receive as many callers as one with half a core. Therefore each router is
+/// included with a probability equal to the ratio of its processor share to the largest one. The
+/// answer is a hint: a router that is not included still serves.
 class EntryDirectory
 {
 public:
@@ -26,17 +26,17 @@
     {
         const EntrySettings &settings;
         const FleetView &fleet;
-        std::function<bool()> isReady; ///< Whether this router serves, stopping aside.
+        std::function<bool()> isReady; ///< Whether this router serves, regardless of isLeaving.
         std::function<bool()> isLeaving;
         RandomSource random;
     };
 
     explicit EntryDirectory(Options options) : m_options(std::move(options)) { }
 
-    /// \returns caller addresses of all routers that serve. Where none is known to, of those that
-    /// run: some requests need no proof, and a refusal tells the others when to come back. Empty
-    /// where this router stops and knows no other.
-    /// \param most how many addresses an answer may hold.
+    /// \returns caller addresses of a sample of the routers that serve. If no router is known to
+    /// serve, the sample is taken from those that run: some requests need no freshness proof, and a
+    /// refusal states when to retry the others. Empty if this router leaves and knows no other.
+    /// \param most maximum number of addresses.
     std::vector<std::string> addresses(std::size_t most) const;
 
     Duration lifetime() const { return m_options.settings.addressLifetime; }
--- a/src/Control/FleetView.cpp
+++ b/src/Control/FleetView.cpp
@@ -11,17 +11,18 @@
 
 namespace {
 
-/// A reader in order gets an answer of the store within a fifth of the time in which changes have
-/// to be in force, and the one before is as old again; a reader that waits longer has lost the
-/// store.
+/// Fraction of the time in which changes must become active. A healthy reader receives an answer of
+/// the store within a fifth of that time, and its previous answer is as old again; a reader that waits
+/// longer than this fraction has lost the store.
 constexpr double MaxSilencePart = 0.65;
 
-/// Rounds of beats in which every router that runs was heard, one lost datagram included. What was
-/// not heard for longer does not read for the others, and is not named after a start.
+/// Rounds of heartbeats in which one is received from every running router, even if one datagram is
+/// lost. A router without a heartbeat for longer does not read the store for the others, and is not
+/// named to callers after a start.
 constexpr int HeardRounds = 2;
 
-/// How long after its start a router names others to callers that it has not heard: a part of them
-/// is heard by then in a fleet of any size.
+/// How long after its start a router names others to callers from which it has not received a
+/// heartbeat. By then it has received heartbeats from a part of them in a fleet of any size.
 constexpr Duration UnheardNamed = std::chrono::seconds(3);
 
 } // namespace
@@ -74,7 +75,8 @@
     std::erase_if(m_addresses, [&](const std::string &it) { return !known.contains(it); });
     for (const RegisteredRouter &it : routers)
         addAddress(it.peerAddress);
-    // Routers that start together would otherwise all beat to the same ones at the same time.
+    // Otherwise, routers that start together would all send heartbeats to the same targets at the
+    // same time.
     if (m_next == 0 && !m_addresses.empty())
         m_next = hash64(m_options.self) % m_addresses.size();
 }
@@ -188,14 +190,14 @@
     const auto heard = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &it) {
         return now - it.second.heardAt <= m_options.remembered;
     });
-    // Registered routers that were never heard may serve all the same.
+    // Registered routers may serve even if no heartbeat of them was ever received.
     return static_cast<int>(
             std::max<std::size_t>(static_cast<std::size_t>(heard), m_addresses.size()) + 1);
 }
 
 bool FleetView::mayRead(const Reader &it) const
 {
-    // Its proof says nothing: another router may have renewed it.
+    // The freshness proof is no evidence here: another router may have renewed it.
     return !it.leaving && !it.storeFailing
             && it.storeSilence <= scaled(m_options.configLimit, MaxSilencePart)
             && !isSuspect(std::string(it.name));
--- a/src/Control/FleetView.h
+++ b/src/Control/FleetView.h
@@ -13,14 +13,14 @@
 
 namespace catkinloft {
 
-/// \brief Which routers there are, from the beats that they send to each other.
+/// \brief View of the routers in the fleet, derived from the heartbeats that they send to each other.
 ///
-/// Load: nine to some hundred routers of which any number may stop at any moment, or start
-/// together. What is told is a hint: callers who get the address of one that has just stopped take
-/// another. Each router beats to a bounded number of others at a time, so that its cost does not
-/// grow with the fleet. In a large fleet a beat from a router then comes once in several intervals,
-/// and what all have to decide alike rests on rows in the store and on beats of the last two
-/// rounds.
+/// Handles nine to some hundred routers, of which any number may stop or start at the same time. The
+/// result is a hint: a caller that is given the address of a router that has just stopped uses another
+/// one. Each router sends a heartbeat to a bounded number of others at a time, so that its cost does
+/// not grow with the fleet. In a large fleet, a router therefore receives a heartbeat from each other
+/// router only once in several intervals. Decisions that all routers must make alike are based on the
+/// rows in the store and on the heartbeats of the last two rounds.
 class FleetView
 {
 public:
@@ -28,30 +28,32 @@
     {
         const Clock &clock;
         std::string self; ///< Name of this router.
-        std::string selfAddress = {}; ///< `ip:port` at which the others reach it.
-        /// A router that was silent for so long is not named to callers: some four beats.
+        std::string selfAddress = {}; ///< `ip:port` for the other routers.
+        /// A router without a heartbeat for this long is not named to callers; almost four heartbeat
+        /// intervals.
         Duration silence = std::chrono::milliseconds(1500);
-        Duration configLimit = std::chrono::seconds(2); ///< In which changes have to be in force.
-        /// How long a silent router still counts among those that share limits.
+        Duration configLimit = std::chrono::seconds(2); ///< In which changes must become active.
+        /// How long a router without heartbeats still counts as one that shares limits.
         Duration remembered = std::chrono::seconds(30);
-        /// How long a router that did not answer is not asked again unless it is heard.
+        /// How long a router that did not answer is suspected, unless a heartbeat of it is received.
         Duration suspicion = std::chrono::seconds(10);
     };
 
-    /// Pause between beats. Counts of requests in progress are at most this old in a small fleet.
+    /// Pause between heartbeats. In a small fleet, this bounds the age of the counts of requests in
+    /// progress.
     static constexpr Duration BeatInterval = std::chrono::milliseconds(400);
 
-    /// Routers that one beat goes to.
+    /// Routers that one heartbeat is sent to.
     static constexpr std::size_t BeatFanout = 26;
 
-    /// \brief Another router, as last heard.
+    /// \brief Another router and its last heartbeat.
     struct Peer
     {
         RouterBeat beat;
         TimePoint heardAt;
     };
 
-    /// \brief What decides whether a router reads the store for the others.
+    /// \brief Properties that decide whether a router reads the store for the others.
     struct Reader
     {
         std::string_view name;
@@ -65,80 +67,85 @@
 
     explicit FleetView(Options options) : m_options(std::move(options)) { }
 
-    /// \brief Changes the time in which changes have to be in force.
+    /// \brief Sets the time in which changes must become active.
     void setConfigLimit(Duration limit) { m_options.configLimit = limit; }
 
-    /// \brief Takes over \a beat.
-    /// \returns false where it is this router's own, or older than what is known.
+    /// \brief Handles a received heartbeat.
+    /// \returns false if it was sent by this router or is not newer than the last one of its sender.
     bool receive(const RouterBeat &beat);
 
-    /// \brief Takes over the routers that the store has, and forgets those that it lacks and that
-    /// were not heard for long.
+    /// \brief Sets the routers that are registered in the store. Removes routers that are not
+    /// registered and whose last heartbeat is older than Options::remembered.
     void setRegistered(std::span<const RegisteredRouter> routers);
 
-    /// \returns whether setRegistered() was called.
+    /// \returns whether setRegistered() was called before.
     bool knowsRegistered() const { return m_registeredAt.has_value(); }
 
-    /// \brief Notes that router \a name left something unanswered that was sent to it at \a asked.
-    /// It does not read for the others until it is heard again or the suspicion ends.
+    /// \brief Records that router \a name did not answer a request that was sent at \a asked. The
+    /// router is not chosen as a reader until its next heartbeat is received or the suspicion expires.
     void noteUnanswered(const std::string &name, TimePoint asked);
 
-    /// \returns up to \a n addresses to beat to, all in turn.
+    /// \returns up to \a n addresses to send a heartbeat to; successive calls go through all addresses
+    /// in turn.
     std::vector<std::string> nextTargets(std::size_t n);
 
-    /// \returns the addresses of \a n routers that keep what is told about \a subject, the same on
-    /// all routers that know the same others. This one is not among them.
+    /// \returns the addresses of the \a n routers that store the reports about \a subject. The result
+    /// is the same on all routers that know the same others. This router is not included.
     std::vector<std::string> keepersOf(std::string_view subject, std::size_t n) const;
 
-    /// \returns whether this router is one of the \a n that are chosen for \a subject, the same on
-    /// all routers that know the same others; false before the store's rows are known.
+    /// \returns whether this router is one of the \a n that are chosen for \a subject; false before
+    /// setRegistered() was called. The choice is the same on all routers that know the same others.
     bool isChosenFor(std::string_view subject, std::size_t n) const;
 
-    /// \returns how many addresses there are to beat to.
+    /// \returns the number of addresses that heartbeats are sent to.
     std::size_t addressCount() const { return m_addresses.size(); }
 
-    /// \returns how many beats it takes to reach every other router once.
+    /// \returns the number of heartbeats that it takes to reach every other router once.
     std::size_t beatsInRound() const;
 
-    /// \returns the other routers that were heard lately, leaving ones included.
+    /// \returns the other routers whose last heartbeat is not older than Options::silence, including
+    /// those that leave.
     std::vector<const Peer *> live() const;
 
-    /// \returns registered routers that were not heard yet, in the first rounds after the start of
-    /// this one; none later.
+    /// \returns the registered routers from which no heartbeat was received yet. Empty once the first
+    /// rounds after the start of this router are over.
     ///
-    /// Load: all routers start at once, and callers with them. Harm prevented: the first ones heard
-    /// would be the only ones named to callers and would read the store for all.
+    /// Handles the start of all routers and callers at the same time. Without it, the routers whose
+    /// heartbeats come first would be the only ones named to callers and would read the store for all.
     std::vector<RegisteredRouter> unheard() const;
 
-    /// \returns those of unheard() that callers may be told of: rows of routers that are gone for
-    /// good stay, and are not named for longer than others need to be heard.
+    /// \returns the routers of unheard() that may be named to callers. As the store also has rows of
+    /// routers that are gone for good, they are named only as long as first heartbeats usually take.
     std::vector<RegisteredRouter> unheardToName() const;
 
-    /// \returns how many routers share the fleet's limits, this one included. Routers that fell
-    /// silent count for a while, since they may be cut off and serving.
+    /// \returns the number of routers that share the fleet's limits, including this one. Routers whose
+    /// heartbeats stopped count for Options::remembered, since they may be cut off but still serve.
     int sharers() const;
 
-    /// \brief Decides which routers read the store for the others.
+    /// \brief Chooses the routers that read the store for the others.
     ///
-    /// Load: hundreds of routers and replicas. Harm prevented: reads of the store cost as much as a
-    /// small request each, and one a second from every router is a twentieth of all that is earned.
-    /// Two read, so that one may stop; where both are lost, each router reads for itself until
-    /// others have taken over. They are the strongest VMs, and the same for all who have heard
-    /// every router or the store's rows; disagreement costs some reads more.
+    /// Handles hundreds of routers and replicas. Prevents that every router reads the store: each read
+    /// costs as much as a small request, and one a second from every router would cost a twentieth of
+    /// the total revenue. There are two readers, so that one of them may stop. If both are lost, each
+    /// router reads for itself until others have taken over. The readers are the routers with the
+    /// largest VMs, and the same on all routers that have received a heartbeat of every router or the
+    /// rows of the store. Disagreement only causes additional reads.
     ///
     /// \param self this router.
     ///
-    /// \returns names, at most ReaderCount; a router that can't reach the store is not among them.
+    /// \returns at most ReaderCount names; routers that cannot reach the store are not included.
     std::vector<std::string> readers(const Reader &self) const;
 
-    /// \returns the peer named \a name if it is live.
+    /// \returns the peer with name \a name if it is live, otherwise null.
     const Peer *find(const std::string &name) const;
 
-    /// \returns where router \a name is reached; empty if it was neither heard nor registered.
+    /// \returns the peer address of router \a name; empty if it is neither registered nor known by a
+    /// heartbeat.
     std::string peerAddressOf(const std::string &name) const;
 
-    /// \returns a live router whose view of the store is younger than \a maxAge, the youngest first
-    /// by revision, then by age; null where there is none.
+    /// \returns the live router with the newest configuration revision among those whose freshness
+    /// proof is not older than \a maxAge; of several, the one with the youngest proof. Null if there is
+    /// none.
     const Peer *freshest(Duration maxAge) const;
 
 private:
@@ -151,8 +158,8 @@
     Options m_options;
     std::map<std::string, Peer> m_peers; ///< By name.
     std::map<std::string, RegisteredRouter> m_registered; ///< By name.
-    std::map<std::string, TimePoint> m_suspects; ///< Since when, by name.
-    std::optional<TimePoint> m_registeredAt; ///< When the store's rows were known first.
+    std::map<std::string, TimePoint> m_suspects; ///< Start of the suspicion, by name.
+    std::optional<TimePoint> m_registeredAt; ///< Of the first call of setRegistered().
     std::vector<std::string> m_addresses;
     std::size_t m_next = 0;
 };
--- a/src/Control/Member.h
+++ b/src/Control/Member.h
@@ -8,16 +8,15 @@
 
 namespace catkinloft {
 
-/// \brief What is believed about a router; each state overrides those before it at the same
-/// incarnation.
+/// \brief State of a router. At the same incarnation, each state overrides those before it.
 enum class MemberState : std::uint8_t {
     Alive,
-    Suspect, ///< Did not answer; may still refute it by a higher incarnation.
-    Leaving, ///< Said itself that it goes: no new callers, but it still answers.
-    Dead, ///< Did not refute the suspicion in time, or said that it is gone.
+    Suspect, ///< Did not answer; may still refute this with a higher incarnation.
+    Leaving, ///< Announced that it leaves: takes no new callers but still answers.
+    Dead, ///< Did not refute the suspicion in time, or failed while leaving.
 };
 
-/// \brief A router as membership knows it, and one item of news about it.
+/// \brief A router in the member list; also one update about it.
 struct Member
 {
     std::string name = {};
@@ -26,22 +25,22 @@
     std::string failureDomain = {};
     MemberState state = MemberState::Alive;
     std::uint64_t incarnation = 0; ///< Raised only by the member itself.
-    std::uint32_t load = 0; ///< Requests in progress, as last heard.
-    TimePoint heardAt = TimePoint::min(); ///< When `load` was heard here; not sent.
+    std::uint32_t load = 0; ///< Requests in progress, as last received.
+    TimePoint heardAt = TimePoint::min(); ///< When `load` was received; not sent.
 
-    /// \returns whether `load` was heard less than \a life before \a now.
+    /// \returns whether `load` was received less than \a life before \a now.
     bool heardWithin(Duration life, TimePoint now) const
     {
-        // Compared this way round because "never" is the least TimePoint: its age would overflow
-        // and make a load that was never heard a fresh one.
+        // "Never" is the smallest TimePoint. Computing its age would overflow, and a load that was
+        // never received would count as fresh.
         return heardAt > now - life;
     }
 };
 
-/// \returns whether news \a a replaces belief \a b about the same member.
+/// \returns whether update \a a replaces the known state \a b of the same member.
 ///
-/// Load: 890 routers that hear news in any order, twice or never. The order of (incarnation, state)
-/// is total, so that all of them end at the same belief whatever the order was.
+/// Handles 890 routers that receive updates in any order, twice or never. The order of (incarnation,
+/// state) is total, so that all routers arrive at the same state whatever the order of the updates.
 constexpr bool overrides(const Member &a, const Member &b)
 {
     return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.state > b.state;
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-/// Items of news on one message. About 110 bytes each: the datagram stays under the 1,200 bytes
-/// that pass every link whole, together with a delta's own limit.
+/// Updates in one message, about 110 bytes each. Together with the limit on a delta, this keeps a
+/// datagram below the 1,200 bytes that no link fragments.
 constexpr std::size_t NewsPerMessage = 3;
 
-/// Members on a page of a whole list, for the same reason.
+/// Members in one page of the full list; limited for the same reason.
 constexpr std::size_t SyncPage = 6;
 
-/// Transmissions of one item for each factor of ten in the number of members. Three times
-/// log10(890) = 9 lets news reach all but one in e^9 members at no loss; the comparison of whole
-/// lists finds the rest.
+/// Transmissions of one update for each factor of ten in the number of members. Without loss, three
+/// times log10(890) = 9 transmissions reach all but one in e^9 members; the comparison of full lists
+/// covers the rest.
 constexpr double SendsPerDecade = 3;
 
-/// Pause before a gossip is repeated: longer than a round trip, so that the second wave starts from
-/// what the first one reached.
+/// Pause before gossip is sent a second time. It is longer than a round trip, so that the members
+/// reached by the first transmission take part in the second.
 constexpr Duration GossipPause = std::chrono::milliseconds(250);
 
-/// Candidates that are asked in one period: the list of 890 VMs is tried within minutes and costs
-/// no burst.
+/// Candidates that are contacted in one period. The list of 890 VMs is covered within minutes and
+/// without a burst of messages.
 constexpr std::size_t CandidatesPerPeriod = 2;
 
 bool isUp(MemberState state)
@@ -74,7 +74,7 @@
 
 std::size_t Membership::newsRoom() const
 {
-    // Where the byte limit is near, news waits for later messages.
+    // Near the byte limit, updates wait for later messages.
     return !m_options.mayDefer || m_options.mayDefer() ? NewsPerMessage : 1;
 }
 
@@ -93,8 +93,8 @@
 
 Duration Membership::suspicionTime() const
 {
-    // A refutation has to travel to all: the time grows with the logarithm of the members, as
-    // spreading does. At 890 it is 6 s, at 9 it is 2.6 s.
+    // A refutation has to reach all members, and dissemination time grows with the logarithm of
+    // their number. The result is 6 s for 890 members and 2.6 s for 9.
     const double decades = std::log10(static_cast<double>(m_members.size()) + 10);
     return scaled(m_options.timing.period, m_options.timing.suspicionPeriods * decades);
 }
@@ -104,7 +104,8 @@
     if (message.from == m_self.name)
         return;
     m_lastHeard = m_options.clock.now();
-    // Pages of a whole list bring what others know already: passing that on would fill messages.
+    // Pages of the full list hold what other members already know; disseminating it again would
+    // displace new updates.
     const bool isNews = message.kind != PeerMessageKind::Sync;
     for (const Member &it : message.news)
         accept(it, isNews);
@@ -145,8 +146,9 @@
 {
     const auto it = m_members.find(message.from);
     if (it == m_members.end() || message.incarnation > it->second.incarnation) {
-        // News is passed on a bounded number of times and may miss someone; whoever then hears from
-        // the member itself asks it. Its own page tells who it is.
+        // An update is disseminated a bounded number of times and may not reach every member. A
+        // router that receives a message from an unknown member requests a page of its list, which
+        // starts with the member itself.
         PeerMessage request = compose(PeerMessageKind::SyncRequest, message.from);
         request.news = {m_self};
         if (message.kind != PeerMessageKind::SyncRequest && message.kind != PeerMessageKind::Sync)
@@ -156,7 +158,8 @@
     it->second.load = message.load;
     it->second.heardAt = m_lastHeard;
     if (it->second.state == MemberState::Suspect || it->second.state == MemberState::Dead) {
-        // It lives, but only its own higher incarnation may say so to all: it gets told.
+        // The sender is alive, but only its own higher incarnation can refute the suspicion for all
+        // members, so it is notified.
         PeerMessage told = compose(PeerMessageKind::Gossip, message.from);
         told.news = {it->second};
         m_options.send(address, std::move(told));
@@ -204,7 +207,8 @@
         m_deadlines.erase(news.name);
     if (!stateChanged)
         return;
-    // Death and leaving take callers off an address, so they don't wait for the next probe.
+    // Callers must stop using the address of a dead or leaving router, so these updates do not wait
+    // for the next probe.
     m_gossipWanted =
             m_gossipWanted || news.state == MemberState::Dead || news.state == MemberState::Leaving;
     m_changed.emit(member);
@@ -256,7 +260,7 @@
         startProbe();
         if (m_syncAfter)
             requestPage();
-        // A random part keeps routers that started together from probing together.
+        // Jitter keeps routers that started at the same time from probing in step.
         const double jitter = 0.9 + 0.2 * uniform(m_options.random);
         m_nextPeriod = now + scaled(m_options.timing.period, jitter);
     }
@@ -273,8 +277,8 @@
 
 std::string Membership::nextTarget()
 {
-    // A shuffled round bounds the longest time until a member is probed, where independent draws
-    // would leave some out for long.
+    // A shuffled round bounds the time until each member is probed; independent random draws would
+    // not.
     for (int round = 0; round < 2; ++round) {
         while (!m_order.empty()) {
             std::string name = std::move(m_order.back());
@@ -301,7 +305,7 @@
     PeerMessage ping = compose(PeerMessageKind::Ping, name);
     ping.probe = m_probe->id;
     const Member &member = m_members.at(name);
-    // A suspect hears of the suspicion from everybody who probes it, so that it can refute it.
+    // Every probe of a suspect member carries the suspicion, so that the member can refute it.
     if (member.state == MemberState::Suspect)
         ping.news = {member};
     sendTo(member, std::move(ping));
@@ -315,8 +319,8 @@
     return m_probe->sent + m_options.timing.ackTimeout * m_probe->tries;
 }
 
-/// A lost datagram is far more likely than a broken path, so the cheap repetition goes before the
-/// dozen messages of probes by others.
+/// Retries the probe directly before it asks other members: a lost datagram is far more likely than a
+/// broken path, and indirect probes cost a dozen messages.
 void Membership::repeatProbe()
 {
     const auto it = m_members.find(m_probe->target);
@@ -354,11 +358,12 @@
     const auto it = m_members.find(probe.target);
     if (probe.answered || it == m_members.end())
         return;
-    // A router that was paused itself finds its probe unanswered through no fault of the target.
+    // If this router itself was paused, the missing answer says nothing about the target.
     if (m_options.clock.now() > probe.sent + 2 * m_options.timing.period)
         return;
-    // Each suspicion is news to all and so is its refutation: at a loss of a fifth they would take
-    // the whole byte limit of 90 routers. A second failed probe in a row costs a second's delay.
+    // Each suspicion is disseminated to all members and so is its refutation. With a fifth of the
+    // datagrams lost, these updates would use up the whole byte limit of 90 routers. Waiting for a
+    // second failed probe in a row delays detection by one second.
     if (!isSecond) {
         m_again = probe.target;
         return;
@@ -376,7 +381,7 @@
 {
     std::vector<std::string> addresses;
     for (const auto &[name, address] : m_candidates) {
-        // Seeds are only for a router that knows nobody.
+        // Seeds are used only while no other member is known.
         if (!name.starts_with("seed ") || liveCount() == 0)
             addresses.push_back(address);
     }
@@ -420,9 +425,9 @@
     requestPage();
 }
 
-/// Load: a router that comes up among 890 reads 150 pages, 1,200 times a day in the fleet. Each
-/// page is asked of another member, so that no router pays for the whole list; a lost page is asked
-/// for again in the next period.
+/// Handles routers that start in a fleet of 890 and read 150 pages each, 1,200 times a day in the
+/// fleet. Each page is requested from another member, so that no member has to send the full list. A
+/// lost page is requested again in the next period.
 void Membership::requestPage()
 {
     if (m_options.mayDefer && !m_options.mayDefer())
@@ -431,7 +436,7 @@
         PeerMessage request = compose(PeerMessageKind::SyncRequest, it->name);
         request.target = m_syncAfter.value_or("");
         request.news = {m_self};
-        // The hash spares the pages where the lists agree, which is nearly always.
+        // If the lists are equal, which is the usual case, the hash saves sending the pages.
         if (request.target.empty())
             request.listHash = listHash();
         m_options.send(it->peerAddress, std::move(request));
@@ -440,7 +445,7 @@
 
 std::uint64_t Membership::listHash() const
 {
-    // A sum, so that the place of this router in its own list does not matter.
+    // The sum does not depend on the order, as this router is not in its own list.
     const auto one = [](const Member &it) {
         return it.state == MemberState::Dead
                 ? 0
@@ -477,7 +482,7 @@
         m_syncAfter.reset();
         return;
     }
-    // An answer to an older request must not take the reading back.
+    // An answer to an older request must not move the position back.
     if (m_syncAfter.value_or("") >= message.target)
         return;
     m_syncAfter = message.target;
@@ -486,7 +491,7 @@
 
 void Membership::gossip()
 {
-    // Where the byte limit leaves no room now, it stays wanted.
+    // If the byte limit leaves no room now, the gossip stays pending.
     if (m_options.mayDefer && !m_options.mayDefer())
         return;
     m_gossipWanted = false;
@@ -531,9 +536,9 @@
     tellLeaving();
 }
 
-/// Load: a router that stops, in a fleet of any size. Harm prevented: news that others pass on a
-/// bounded number of times may miss a member, which then names the stopped router to callers until
-/// probes fail. Whoever leaves tells members itself, as many as it has time for.
+/// Notifies members directly that this router leaves, as many as there is time for. Other members
+/// disseminate the update only a bounded number of times; a member that it does not reach would name
+/// the stopped router to callers until probes fail.
 void Membership::tellLeaving()
 {
     for (int i = 0; i < m_options.timing.gossipFanout && !m_untold.empty(); ++i) {
--- a/src/Control/Membership.h
+++ b/src/Control/Membership.h
@@ -18,26 +18,30 @@
 
 namespace catkinloft {
 
-/// \brief Which routers there are: probing of constant cost, suspicion before death, news on the
-/// back of probes (the SWIM family). Free of sockets and of time of its own.
+/// \brief Maintains the list of routers with a protocol of the SWIM family: each router probes the
+/// others at constant cost, suspects a member before it declares it dead, and piggybacks membership
+/// updates on probes. Uses no sockets and no clock of its own.
 ///
-/// Load: 890 routers, 80 that fail and 1,200 that are replaced a day, up to a fifth of datagrams
-/// lost. Each router probes one other a second, whatever their number. The result is a hint: no
-/// promise rests on two routers believing the same.
+/// Handles 890 routers, of which 80 fail and 1,200 are replaced a day, while up to a fifth of the
+/// datagrams is lost. Each router probes one other a second, whatever the number of members. The
+/// result is a hint: no guarantee depends on two routers having the same view.
 class Membership
 {
 public:
-    /// \brief The protocol's times. Defaults are for round trips of a few milliseconds.
+    /// \brief Timing of the protocol. The defaults suit round trips of a few milliseconds.
     struct Timing
     {
-        Duration period = std::chrono::seconds(1); ///< One member is probed in each.
-        /// Then the probe is repeated; after as long again others are asked to probe.
+        Duration period = std::chrono::seconds(1); ///< One member is probed in each period.
+        /// Time until an unanswered probe is retried; after the same time again, other members are
+        /// asked to probe.
         Duration ackTimeout = std::chrono::milliseconds(300);
-        int indirectProbes = 3; ///< How many are asked.
-        double suspicionPeriods = 2; ///< Periods of suspicion for each factor of ten in size.
-        Duration deadKept = std::chrono::minutes(2); ///< How long a dead member is remembered.
-        Duration syncInterval = std::chrono::minutes(2); ///< Between comparisons of whole lists.
-        int gossipFanout = 3; ///< Members told at once of urgent news, twice over.
+        int indirectProbes = 3; ///< Members that are asked to probe.
+        /// Periods that a member stays suspect for each factor of ten in the number of members.
+        double suspicionPeriods = 2;
+        Duration deadKept = std::chrono::minutes(2); ///< Before a dead member is removed.
+        Duration syncInterval = std::chrono::minutes(2); ///< Between comparisons of full lists.
+        /// Members that urgent updates are sent to at once; sent to as many again after a pause.
+        int gossipFanout = 3;
     };
 
     struct Options
@@ -46,54 +50,56 @@
         RandomSource random;
         Member self;
         Timing timing = {};
-        /// Sends a message to a peer address. from, digest, load and news are filled in already.
+        /// Sends a message to a peer address. from, digest, load and updates are already set.
         std::function<void(const std::string &address, PeerMessage)> send;
-        std::function<ConfigDigest()> digest = {}; ///< The configuration in force here.
-        std::function<bool()> mayDefer = {}; ///< Whether what can wait fits the byte limit now.
+        std::function<ConfigDigest()> digest = {}; ///< Active configuration of this router.
+        /// Returns whether the byte limit leaves room for messages that could wait.
+        std::function<bool()> mayDefer = {};
     };
 
     explicit Membership(Options options);
 
-    /// \brief Adds an address to ask where nobody is known.
+    /// \brief Adds an address to contact while no member is known.
     void addSeed(const std::string &peerAddress);
 
-    /// \brief Takes over the platform's list as a hint: new names are asked, never believed; names
-    /// that it lacks stay until probes find them dead.
+    /// \brief Uses the platform's list of VMs as a hint: new names are contacted but become members
+    /// only when they answer; members that are not in the list stay until probes declare them dead.
     void setVms(const std::vector<VmEntry> &vms);
 
-    /// \brief Handles an authenticated message that came from \a address.
+    /// \brief Handles an authenticated message that was received from \a address.
     void receive(const std::string &address, const PeerMessage &message);
 
-    /// \brief Lets time pass.
+    /// \brief Runs the timers that are due.
     void poll();
 
-    /// \returns when poll() has to run next.
+    /// \returns when poll() must be called next.
     TimePoint nextDeadline() const;
 
-    /// \brief Says that this router leaves: to some members at once, and to the others in turn.
+    /// \brief Announces that this router leaves: to a few members at once, then to the others in
+    /// turn.
     void leave();
 
     void setLoad(std::uint32_t load) { m_load = load; }
 
-    /// \brief Tells a few random members at once, with what is in the news and the digest.
+    /// \brief Sends queued updates and the configuration digest to a few random members at once.
     void gossip();
 
-    /// \returns a message of \a kind to \a to with all fields that every message has.
+    /// \returns a message of \a kind to \a to with the fields that all messages have in common.
     PeerMessage compose(PeerMessageKind kind, std::string_view to);
 
     const std::map<std::string, Member, std::less<>> &members() const { return m_members; }
     const Member &self() const { return m_self; }
 
-    /// \returns members other than this one that are neither dead nor leaving.
+    /// \returns the number of members other than this one that are neither dead nor leaving.
     std::size_t liveCount() const;
 
-    /// \returns when a message last came in; TimePoint::min() before the first.
+    /// \returns when the last message was received; TimePoint::min() before the first.
     TimePoint lastHeard() const { return m_lastHeard; }
 
-    /// \returns the address of a random live member, empty where none is known.
+    /// \returns the address of a random member that is not dead; empty if none is known.
     std::string randomAddress();
 
-    /// \brief Emitted when a member came, went or changed state.
+    /// \brief Emitted when a member is added or changes its state.
     sigc::signal<void(const Member &)> &changed() { return m_changed; }
 
 private:
@@ -102,7 +108,7 @@
         std::string target;
         std::uint64_t id = 0;
         TimePoint sent;
-        int tries = 1; ///< Own probe, its repetition, probes by others.
+        int tries = 1; ///< 1: direct probe, 2: its retry, 3: indirect probes.
         bool answered = false;
     };
     struct Relay
@@ -142,20 +148,22 @@
     Options m_options;
     Member m_self;
     std::uint32_t m_load = 0;
-    std::map<std::string, Member, std::less<>> m_members; ///< Without this router.
-    std::map<std::string, TimePoint, std::less<>> m_deadlines; ///< Of the suspect and the dead.
-    std::vector<std::string> m_order; ///< Rest of this round of probes.
-    std::map<std::string, std::string> m_candidates; ///< Addresses to try, by name if known.
+    std::map<std::string, Member, std::less<>> m_members; ///< Excludes this router.
+    std::map<std::string, TimePoint, std::less<>> m_deadlines; ///< Of suspect and dead members.
+    std::vector<std::string> m_order; ///< Members still to be probed in this round.
+    /// Addresses that may belong to routers, by name, or by address for seeds.
+    std::map<std::string, std::string> m_candidates;
     NewsQueue m_news;
     std::optional<Probe> m_probe;
-    std::string m_again; ///< Member whose last probe failed, to be probed once more.
+    std::string m_again; ///< Member whose last probe failed; it is probed again next.
     std::map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_nextId = 1;
     TimePoint m_nextPeriod;
     TimePoint m_nextSync;
     std::optional<std::string> m_syncAfter; ///< Member after which the next page begins.
     TimePoint m_gossipAgain = TimePoint::max();
-    std::vector<std::string> m_untold; ///< Members that are still to be told that this one leaves.
+    /// Members that were not yet notified that this one leaves.
+    std::vector<std::string> m_untold;
     TimePoint m_lastHeard = TimePoint::min();
     bool m_gossipWanted = false;
     sigc::signal<void(const Member &)> m_changed;
--- a/src/Control/NewsQueue.h
+++ b/src/Control/NewsQueue.h
@@ -9,19 +9,19 @@
 
 namespace catkinloft {
 
-/// \brief News that is still to be passed on, each item a bounded number of times.
+/// \brief Queue of membership updates to disseminate, each a bounded number of times.
 ///
-/// Load: 2,600 joins, leaves and deaths a day among 890 routers, and hundreds at once when a
-/// failure domain fails. Harm prevented: a message that grows with the amount of news would break
-/// the byte limit at just that time; here the news waits instead. What was sent least goes first,
-/// so that a flood doesn't starve the last item.
+/// Handles 2,600 joins, leaves and deaths a day among 890 routers, and hundreds at once when a
+/// failure domain fails. Prevents messages from growing with the number of updates, which would
+/// exceed the byte limit in exactly that situation: the updates wait instead. Those sent least often
+/// go first, so that a burst does not starve any of them.
 class NewsQueue
 {
 public:
-    /// \brief Queues \a news in place of older news about the same member.
+    /// \brief Queues \a news in place of an older update about the same member.
     void add(const Member &news);
 
-    /// \returns at most \a maxItems items; each is dropped after \a maxSends of them.
+    /// \returns at most \a maxItems updates. Each is removed after it was returned \a maxSends times.
     std::vector<Member> take(std::size_t maxItems, int maxSends);
 
     std::size_t size() const { return m_items.size(); }
--- a/src/Control/RouterBeat.cpp
+++ b/src/Control/RouterBeat.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char *Method = "b";
 
-/// Ages on the wire are rounded up, so that a proof never looks younger than it is.
+/// Ages are rounded up on the wire, so that a freshness proof never appears younger than it is.
 Json::Value ageToJson(Duration age)
 {
     if (age == Duration::max())
@@ -26,7 +26,7 @@
     return it.isNull() ? Duration::max() : internal::ageFromMilliseconds(it.asInt64());
 }
 
-/// Arrays: names of fields would double the bytes.
+/// Uses arrays, as field names would double the bytes.
 Json::Value crashToJson(const CrashNews &it)
 {
     Json::Value out(Json::arrayValue);
@@ -101,7 +101,8 @@
 
 namespace {
 
-/// What beats have in common, the names of fields in the order in which they are written.
+/// Compression dictionary: text that most heartbeats have in common, with the fields in the order in
+/// which they are written.
 constexpr std::string_view BeatDictionary =
         R"("},"j":["i-"],"z":["],"g":["],"x":[["],"ed":["],"ev":,"f":true,"l":true,)"
         R"("r":false,"w":0.25,"w":0.5,"u":{"i-":[1,"}},"i":{"i-":2,"i-":1},"k":,"e":)"
@@ -109,7 +110,7 @@
         R"("d":"","e":1,"h":1,"hv":1,"i":{"i-":1},"k":1,"l":false,"n":"front-","p":"10.",)"
         R"("q":1,"r":true,"s":100,"u":{"i-":[]},"v":1,"w":0.12,"y":0}})";
 
-/// Longest beat, several times what a datagram of 1,200 bytes holds.
+/// Longest heartbeat after decompression; several times what a datagram of 1,200 bytes holds.
 constexpr std::size_t MaxBeat = 16 * 1024;
 
 } // namespace
@@ -188,9 +189,9 @@
         if (params)
             return beatOf(*params);
     } catch (const Json::Exception &) {
-        // A field of another type: rubbish like any other.
+        // A field has an unexpected type: malformed like any other invalid input.
     }
-    return Error{.reason = Reason::MalformedRequest, .detail = "not a beat of a router"};
+    return Error{.reason = Reason::MalformedRequest, .detail = "not a heartbeat of a router"};
 }
 
 } // namespace catkinloft
--- a/src/Control/RouterBeat.h
+++ b/src/Control/RouterBeat.h
@@ -15,38 +15,42 @@
 
 namespace catkinloft {
 
-/// \brief What a router tells the others a few times a second.
+/// \brief Periodic message between routers, sent a few times a second.
 struct RouterBeat
 {
     std::string name = {}; ///< Of the sender.
-    std::uint64_t incarnation = 0; ///< Start of the process in milliseconds; never falls.
-    std::uint64_t sequence = 0; ///< Rises with each message of the process.
+    std::uint64_t incarnation = 0; ///< Start of the process in milliseconds; never decreases.
+    std::uint64_t sequence = 0; ///< Increases with each message of the process.
     std::string callerAddress = {}; ///< `ip:port` that callers connect to.
     std::string peerAddress = {}; ///< `ip:port` for routers, TCP and UDP.
     std::string failureDomain = {};
-    double processorShare = 1; ///< Cores of the sender's VM.
-    bool ready = false; ///< May be named to callers.
-    bool leaving = false; ///< Stops soon.
-    std::uint64_t revision = 0; ///< Of the configuration in force.
-    Duration proofAge = Duration::max(); ///< Since it was certain that this is the newest.
+    double processorShare = 1; ///< Processor cores of the sender's VM.
+    bool ready = false; ///< Its address may be given to callers.
+    bool leaving = false; ///< The sender is about to stop.
+    std::uint64_t revision = 0; ///< Of the active configuration.
+    /// Time since `revision` was known to be the newest; Duration::max(): never.
+    Duration proofAge = Duration::max();
     bool storeFailing = false; ///< The sender's last call to the store failed.
-    Duration storeSilence = Duration::zero(); ///< How long a router that reads it got no answer.
-    Duration replicasAge = Duration::max(); ///< Since the replicas were read from the store.
-    std::uint64_t replicasHash = 0; ///< Of the replicas that the sender knows; 0: none.
-    std::uint64_t replicasVersion = 0; ///< Of the store when they were read.
-    EvacuatedDomains::State evacuated = {}; ///< Version 0: there is nothing to tell.
-    std::uint64_t ask = 0; ///< Other than 0: the receiver answers at once with this as `echo`.
-    std::uint64_t echo = 0; ///< Of the ask that this answers: it was sent after that came in.
-    ReplicaNews replicas = {}; ///< Of the sender.
-    /// Parts of prompts that the sender has sent to replicas since its last beat, by replica id.
+    /// How long the store has not answered the sender, if the sender reads it.
+    Duration storeSilence = Duration::zero();
+    /// Time since the replicas were read from the store.
+    Duration replicasAge = Duration::max();
+    std::uint64_t replicasHash = 0; ///< Of the replicas known to the sender; 0: none.
+    std::uint64_t replicasVersion = 0; ///< Version of the store at that read.
+    EvacuatedDomains::State evacuated = {}; ///< Version 0: not known.
+    std::uint64_t ask = 0; ///< If not 0, the receiver answers at once with this number as `echo`.
+    /// `ask` of the message that this one answers; this one was sent after the ask was received.
+    std::uint64_t echo = 0;
+    ReplicaNews replicas = {}; ///< State of the replicas as observed by the sender.
+    /// Prompt parts that the sender has sent to replicas since its last heartbeat, by replica id.
     PromptsByReplica prompts = {};
-    /// Replicas that need not be asked any more for what they keep.
+    /// Replicas whose cached prompts are known, so that they need not be asked for them.
     std::vector<std::string> listed = {};
-    std::vector<CrashNews> crashes = {}; ///< Of requests under which replicas ended.
+    std::vector<CrashNews> crashes = {}; ///< Requests during which replicas crashed.
 };
 
-/// \brief Turns beats into JSON-RPC notifications and back. Names on the wire have one or two
-/// letters: at nine routers and four beats a second full names would double the bytes.
+/// \brief Encodes heartbeats as JSON-RPC notifications and decodes them. Field names on the wire have
+/// one or two letters: with several heartbeats a second, full names would double the bytes.
 class BeatCodec
 {
 public:
@@ -57,14 +61,14 @@
 
     static std::string encode(const RouterBeat &beat);
 
-    /// \returns encode() compressed. Beats are most of what a large fleet sends between failure
-    /// domains.
+    /// \returns the result of encode(), compressed. Heartbeats are most of the traffic of a large
+    /// fleet between failure domains.
     static std::string pack(const RouterBeat &beat);
 
-    /// \returns the beat that pack() was given; MalformedRequest for anything else.
+    /// \returns the heartbeat passed to pack(); MalformedRequest for any other input.
     Result<RouterBeat> unpack(std::string_view bytes);
 
-    /// \returns the beat; MalformedRequest for anything else.
+    /// \returns the heartbeat; MalformedRequest for any other input.
     Result<RouterBeat> decode(const std::string &text);
 
 private:
