--- a/src/Control/Control.h
+++ b/src/Control/Control.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Module Control: the state that routers share, without sockets.
+/// \brief Module Control: the state that routers share. It uses no sockets.
 
 #include "Control/ConfigKeeper.h" // IWYU pragma: export
 #include "Control/EngineDigest.h" // IWYU pragma: export
--- a/src/Control/FleetRegistration.cpp
+++ b/src/Control/FleetRegistration.cpp
@@ -14,10 +14,11 @@
 constexpr std::string_view RouterRows = "fleet/router/";
 constexpr const char *KeyId = "1";
 
-/// Rows read at most; several times the largest fleet planned.
+/// Maximum number of rows read; several times the largest planned fleet.
 constexpr std::size_t MaxRows = 5000;
 
-/// Bytes of a new key: what HMAC-SHA-256 uses at most without hashing it first.
+/// Words of 8 bytes in a new key: 64 bytes is the longest key that HMAC-SHA-256 uses without hashing
+/// it first.
 constexpr int KeyWords = 8;
 
 void logFailure(const char *what, const Error &error)
@@ -96,7 +97,7 @@
                                m_busy = false;
                                if (!commit)
                                    return fail("create key", commit.error());
-                               // Where another router was first, its key is read now.
+                               // If another router was first, this reads its key.
                                refresh();
                            });
 }
--- a/src/Control/FleetRegistration.h
+++ b/src/Control/FleetRegistration.h
@@ -11,13 +11,13 @@
 
 namespace catkinloft {
 
-/// \brief How routers find each other: a row a router, and the key that signs what they tell each
-/// other, in the table service. Reading it again is the only way to learn of a router that nobody
-/// has heard.
+/// \brief Service discovery of the routers: the table service holds a row for each router and the key
+/// that signs the messages between them. Reading the rows again is the only way to find a router from
+/// which no router has received a heartbeat.
 ///
-/// Load: hundreds of routers that start at the same moment. Harm prevented: three calls from each
-/// are a queue of seconds at the one part of the table that takes their rows. So one reading brings
-/// the key, all rows and whether the own one still stands; after a restart nothing is written.
+/// Handles hundreds of routers that start at the same time. Three calls from each would queue for
+/// seconds at the one partition of the table that holds their rows. Therefore one read returns the key,
+/// all rows and whether the row of this router exists; after a restart nothing is written.
 class FleetRegistration
 {
 public:
@@ -26,25 +26,26 @@
         TableService &table;
         RandomSource random;
         RegisteredRouter self;
-        std::function<void(const SharedKey &)> onKey; ///< The key is known.
-        /// All other routers, this one being registered as well: of any two that start, the one
-        /// that reads later finds the other.
+        std::function<void(const SharedKey &)> onKey; ///< Called when the key is known.
+        /// Called with all other routers once this one is registered as well. Of any two routers that
+        /// start, the one that reads later finds the other.
         std::function<void(const std::vector<RegisteredRouter> &)> onRouters;
-        /// Told how each refresh() has ended: whether all its calls were answered.
+        /// Called at the end of each refresh() with whether all its calls were answered.
         std::function<void(bool answered)> onEnd = [](bool) {};
     };
 
     explicit FleetRegistration(Options options) : m_options(std::move(options)) { }
 
-    /// \brief Reads all rows and writes what is missing: the key, the own row. Call again until
-    /// isComplete(), and then now and then.
+    /// \brief Reads all rows and writes the key and the row of this router if they are missing. Must be
+    /// called until isComplete(), and periodically afterwards.
     void refresh();
 
-    /// \returns whether key, own row and list were had at least once.
+    /// \returns whether the key and the list of routers were read at least once while this router was
+    /// registered.
     bool isComplete() const { return m_complete; }
 
-    /// \brief Removes the own row for good. Failing is harmless: a row whose router is silent is
-    /// not used.
+    /// \brief Removes the row of this router for good. A failure is harmless, as the row of a router
+    /// that sends no heartbeats is not used.
     void leave();
 
 private:
--- a/src/Control/PeerCatchUp.h
+++ b/src/Control/PeerCatchUp.h
@@ -7,27 +7,27 @@
 
 namespace catkinloft {
 
-/// \brief Decides when a router asks a peer for the peer's whole state: the configuration, the
-/// replicas, and which prompts these keep.
+/// \brief Decides when a router requests the full state of a peer: the configuration, the replicas,
+/// and which prompts these cache.
 ///
-/// Load: four beats a second from each of up to sixteen peers. Harm prevented: a router that has
-/// missed a change serves an old configuration, and one that asks at every beat spends processor
-/// time and bytes on answers that tell it nothing.
+/// Handles four heartbeats a second from each of up to sixteen peers. Prevents that a router that has
+/// missed a change serves an old configuration, and that a router requests the state at every
+/// heartbeat and spends processor time and bytes on answers without new information.
 class PeerCatchUp
 {
 public:
     struct Options
     {
-        Duration configLimit = std::chrono::seconds(2); ///< In which changes have to be in force.
+        Duration configLimit = std::chrono::seconds(2); ///< In which changes must become active.
     };
 
-    /// \brief Changes the time in which changes have to be in force.
+    /// \brief Sets the time in which changes must become active.
     void setConfigLimit(Duration limit) { m_options.configLimit = limit; }
 
-    /// \brief What this router knows itself.
+    /// \brief State of this router.
     struct Known
     {
-        std::uint64_t revision = 0; ///< Of the configuration in force.
+        std::uint64_t revision = 0; ///< Of the active configuration.
         Duration proofAge = Duration::max(); ///< \sa RouterBeat::proofAge
         std::uint64_t replicasHash = 0;
         std::uint64_t replicasVersion = 0;
@@ -35,21 +35,22 @@
 
     explicit PeerCatchUp(Options options) : m_options(options) { }
 
-    /// \returns whether the sender of \a beat has something that \a own lacks.
+    /// \returns whether the sender of \a beat has newer state than \a own.
     bool isWorthAsking(const RouterBeat &beat, const Known &own) const;
 
-    /// \returns whether peers are to be asked which prompts are kept where.
+    /// \returns whether peers must be asked which replicas cache which prompts.
     bool wantsPrompts() const { return m_emptyAnswers < MaxEmptyAnswers; }
 
-    /// \brief Notes that a peer told which prompts are kept, \a any of them or none.
+    /// \brief Records that a peer reported cached prompts; \a any is whether there were any.
     void promptsTold(bool any);
 
-    /// \returns the oldest proof with which a peer is of help to a router whose own is too old.
+    /// \returns the maximum age of a peer's freshness proof with which its state is worth requesting if
+    /// the proof of this router is too old.
     Duration maxPeerProofAge() const;
 
 private:
-    /// Peers that may answer that they know of no prompt. One may have just started as well; where
-    /// three know of none there is nothing to learn, be it that nobody keeps prompts here.
+    /// Peers that may report no cached prompt before the router stops asking. One peer may itself have
+    /// just started; if three report none, there probably are none.
     static constexpr int MaxEmptyAnswers = 3;
 
     Options m_options;
--- a/src/Control/PeerCodec.cpp
+++ b/src/Control/PeerCodec.cpp
@@ -83,7 +83,7 @@
 {
     const unsigned state = it[4].asUInt();
     if (state > static_cast<unsigned>(MemberState::Dead))
-        throw Json::LogicError("no such state");
+        throw Json::LogicError("unknown member state");
     return {.name = it[0].asString(),
             .callerAddress = it[1].asString(),
             .peerAddress = it[2].asString(),
@@ -101,7 +101,7 @@
 {
     const unsigned kind = root["k"].asUInt();
     if (kind > static_cast<unsigned>(PeerMessageKind::ConfigLarge))
-        throw Json::LogicError("no such kind");
+        throw Json::LogicError("unknown message kind");
     PeerMessage out{.kind = static_cast<PeerMessageKind>(kind),
                     .from = root["f"].asString(),
                     .to = root["t"].asString(),
@@ -161,7 +161,7 @@
         if (params)
             return messageOf(*params);
     } catch (const Json::Exception &) {
-        // A field of another type: rubbish like any other.
+        // A field has an unexpected type: malformed like any other invalid input.
     }
     return Error{.reason = Reason::MalformedRequest, .detail = "not a message of a router"};
 }
--- a/src/Control/PeerCodec.h
+++ b/src/Control/PeerCodec.h
@@ -8,15 +8,15 @@
 
 namespace catkinloft {
 
-/// \brief Turns messages into JSON-RPC notifications and back.
+/// \brief Encodes messages as JSON-RPC notifications and decodes them.
 ///
-/// Names on the wire have one or two letters and empty fields are left out: at 890 routers the
-/// limit is 3 KB a second, and full names would take a third of it.
+/// Field names on the wire have one or two letters and empty fields are omitted: with 890 routers the
+/// limit is 3 KB a second, and full names would take up a third of it.
 class PeerCodec
 {
 public:
-    /// Longest datagram: under the smallest MTU of a tunnelled Ethernet, so that IP never
-    /// fragments it, since one lost fragment loses all.
+    /// Longest datagram. It is below the smallest MTU of tunnelled Ethernet, so that IP never fragments
+    /// it; one lost fragment would lose the whole datagram.
     static constexpr std::size_t MaxDatagram = 1200;
 
     PeerCodec();
@@ -26,7 +26,7 @@
 
     static std::string encode(const PeerMessage &message);
 
-    /// \returns the message; MalformedRequest for anything else.
+    /// \returns the message; MalformedRequest for any other input.
     Result<PeerMessage> decode(const std::string &text);
 
 private:
--- a/src/Control/PeerGuard.cpp
+++ b/src/Control/PeerGuard.cpp
@@ -10,11 +10,12 @@
 
 constexpr std::size_t MacBytes = 16;
 
-/// Clocks of VMs differ, and a datagram does not travel for a minute. Together with the sequence
-/// window it bounds what has to be remembered of processes that are gone.
+/// Maximum difference between the time in a datagram and the local clock. It allows for clock skew
+/// between VMs; no datagram travels for a minute. Together with the sequence window it bounds the state
+/// that is stored for processes that no longer exist.
 constexpr std::uint64_t MaxSkewSeconds = 60;
 
-/// Sequence numbers remembered below the highest one.
+/// Size of the replay window below the highest sequence number.
 constexpr std::uint64_t WindowBits = 64;
 
 std::uint64_t wallMilliseconds(const Clock &clock)
@@ -98,7 +99,7 @@
     Result<PeerMessage> message = m_codec.decode(std::string(text));
     if (!message)
         return {.fault = PeerFault::Malformed};
-    // A datagram meant for another router, sent on by someone who can't sign, is a replay too.
+    // A datagram for another router, forwarded by someone who cannot sign, is also a replay.
     if (!message.value().to.empty() && message.value().to != m_options.self)
         return {.fault = PeerFault::Misdirected};
     if (!isFresh(message.value()))
@@ -111,7 +112,7 @@
     if (now < m_forgotAt + MaxSkewSeconds)
         return;
     m_forgotAt = now;
-    // What is older is refused by its time, so that its window is of no more use.
+    // Older datagrams are refused because of their time, so their window is no longer needed.
     std::erase_if(m_windows,
                   [&](const auto &it) { return it.second.lastSent + MaxSkewSeconds < now; });
 }
--- a/src/Control/PeerGuard.h
+++ b/src/Control/PeerGuard.h
@@ -12,18 +12,18 @@
 
 namespace catkinloft {
 
-/// \brief Why a datagram was refused.
+/// \brief Reason why a datagram is refused.
 enum class PeerFault : std::uint8_t { None, Forged, Replayed, Misdirected, Malformed };
 
 /// \returns the label of \a fault in metrics.
 std::string_view peerFaultName(PeerFault fault);
 
-/// \brief Signs datagrams between routers and refuses those that nobody who knows a key has sent,
-/// or that were sent before.
+/// \brief Signs datagrams between routers and refuses those that were not signed with a known key or
+/// are replays.
 ///
-/// The harm prevented: whoever reaches the peer port could mark routers as dead or feed them a
-/// configuration. A datagram is `KEYID.MAC.TEXT`, the MAC being HMAC-SHA-256 cut to 128 bits, as
-/// RFC 2104 allows; the whole one would cost 21 bytes more on each.
+/// Prevents that anyone who can reach the peer port marks routers as dead or sends them a
+/// configuration. A datagram is `KEYID.MAC.TEXT`. The MAC is HMAC-SHA-256 truncated to 128 bits, as
+/// RFC 2104 allows; the full one would add 21 bytes to each datagram.
 class PeerGuard
 {
 public:
@@ -31,41 +31,42 @@
     {
         const Clock &clock;
         std::string self;
-        std::vector<SharedKey> keys; ///< The first one signs, every one is accepted.
+        std::vector<SharedKey> keys; ///< The first one signs, all are accepted.
     };
 
     explicit PeerGuard(Options options);
 
-    /// \brief Replaces the keys, so that they rotate without a stop: add the new one as second
-    /// everywhere, make it first everywhere, remove the old one.
+    /// \brief Replaces the keys. To rotate a key without interruption, add the new one as second on all
+    /// routers, then make it the first on all routers, then remove the old one.
     void setKeys(std::vector<SharedKey> keys);
 
     /// \returns the datagram for \a message, with sequence and time filled in.
     std::string seal(PeerMessage message);
 
-    /// \brief What open() made of a datagram.
+    /// \brief Result of open().
     struct Opened
     {
         PeerFault fault = PeerFault::None;
         PeerMessage message = {};
     };
 
+    /// \returns the message in \a datagram, or why it is refused.
     Opened open(std::string_view datagram);
 
-    /// \returns the MAC of \a text under the signing key, with the key's id, for bodies over TCP.
+    /// \returns the id of the signing key and the MAC of \a text, for bodies over TCP.
     std::string sign(std::string_view text) const;
 
-    /// \returns whether \a signature is one that sign() gives for \a text under any key.
+    /// \returns whether \a signature is the result of sign() for \a text with any of the keys.
     bool verify(std::string_view signature, std::string_view text) const;
 
 private:
-    /// Which sequence numbers of one incarnation have been seen; datagrams overtake each other.
+    /// Replay window: the sequence numbers received of one incarnation. Datagrams may be reordered.
     struct Window
     {
-        std::uint64_t incarnation = 0; ///< What is older is refused as a whole.
+        std::uint64_t incarnation = 0; ///< Older incarnations are refused.
         std::uint64_t highest = 0;
         std::uint64_t seen = 0; ///< Bit n: `highest - n`.
-        std::uint64_t lastSent = 0; ///< Newest time on a message, in seconds.
+        std::uint64_t lastSent = 0; ///< Newest `sentAt` of a message.
     };
 
     bool isFresh(const PeerMessage &message);
--- a/src/Control/PeerState.cpp
+++ b/src/Control/PeerState.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Longest text of the store that is taken over. The store itself keeps no larger objects.
+/// Longest text that is accepted. The store itself holds no larger objects.
 constexpr std::size_t MaxTextBytes = 32 * 1024 * 1024;
 
 std::int64_t milliseconds(Duration d)
@@ -24,7 +24,8 @@
                                : Duration::max();
 }
 
-/// \returns the first \a n bytes of \a rest, which are taken off it.
+/// Removes the first \a n bytes from \a rest.
+/// \returns these bytes; nothing if \a rest is shorter.
 std::optional<PeerState::Packed> take(std::string_view &rest, std::size_t n)
 {
     if (n > rest.size())
@@ -107,7 +108,7 @@
 {
     const std::size_t end = body.find('\n');
     if (end == std::string_view::npos)
-        return malformed("no end of the first line");
+        return malformed("the first line of the state has no end");
     const Result<Json::Value> head = parseJsonObject(body.substr(0, end));
     if (!head)
         return malformed(head.error().detail);
@@ -121,7 +122,7 @@
             return text.has_value();
         };
         if (!takeText("config_bytes", out.config) || !takeText("replicas_bytes", out.replicas))
-            return malformed("shorter than it says");
+            return malformed("the state is shorter than its header announces");
         return out;
     } catch (const Json::Exception &e) {
         return malformed(e.what());
--- a/src/Control/PeerState.h
+++ b/src/Control/PeerState.h
@@ -13,38 +13,40 @@
 
 namespace catkinloft {
 
-/// \brief What one router tells another that asks for its state: what it read from the store, how
-/// old that is, and which prompts replicas keep.
+/// \brief State that a router sends to a peer on request: what it read from the store, the age of
+/// that, and which prompts the replicas cache.
 struct PeerState
 {
-    /// \brief A text as read from the store, compressed once for all who ask.
+    /// \brief A text read from the store, compressed once for all requests.
     struct Packed
     {
         std::string bytes = {}; ///< \sa compress()
 
         static Packed of(std::string_view text);
 
-        /// \returns the text; an error where it is none.
+        /// \returns the decompressed text, or an error.
         Result<std::string> text() const;
     };
 
-    std::uint64_t revision = 0; ///< Of the configuration in force; 0: none is.
+    std::uint64_t revision = 0; ///< Of the active configuration; 0: none.
     Duration proofAge = Duration::max(); ///< \sa RouterBeat::proofAge
-    std::optional<Packed> config = {}; ///< Only where the asker has an older one.
-    std::uint64_t configBase = 0; ///< Revision that \a config is a change of; 0: it is whole.
+    std::optional<Packed> config = {}; ///< Set if the requester has an older one.
+    /// Revision that \a config is a delta to; 0: \a config is a full configuration.
+    std::uint64_t configBase = 0;
     EvacuatedDomains::State evacuated = {};
 
     Duration replicasAge = Duration::max(); ///< Duration::max(): never read.
     std::uint64_t replicasHash = 0;
-    std::uint64_t replicasVersion = 0; ///< Of the store when they were read.
-    std::optional<Packed> replicas = {}; ///< ReplicaUpdate, only where the asker has others.
+    std::uint64_t replicasVersion = 0; ///< Version of the store at that read.
+    /// A ReplicaUpdate; set if the requester has other replicas.
+    std::optional<Packed> replicas = {};
 
     PromptsByReplica prompts = {};
 
-    /// \returns the state as one body: a line of JSON, then the packed texts.
+    /// \returns the state as one HTTP body: a line of JSON, then the compressed texts.
     std::string encode() const;
 
-    /// \returns the state in \a body; MalformedRequest where it holds none.
+    /// \returns the state in \a body; MalformedRequest if it cannot be parsed.
     static Result<PeerState> decode(std::string_view body);
 };
 
--- a/src/Control/PromptNews.cpp
+++ b/src/Control/PromptNews.cpp
@@ -10,14 +10,16 @@
 
 using namespace std::chrono_literals;
 
-/// A part that is in use all the time is told again after this, since who hears of it forgets it
-/// when it was not used for a minute.
+/// Time after which a part that is in constant use is announced again. The receivers drop a part that
+/// was not used for a minute.
 constexpr Duration TellAgain = 15s;
 
-/// News that waits: more only comes at a hundred new prompts a second, and is dropped.
+/// Maximum length of the queue. It is exceeded only at a hundred new prompts a second; further updates
+/// are then dropped.
 constexpr std::size_t MaxItems = 400;
 
-/// Remembered tellings; beyond it all are forgotten, which costs some that are told twice.
+/// Maximum number of stored announcement times. Beyond it all are dropped, so that some parts are
+/// announced twice.
 constexpr std::size_t MaxNoted = 20'000;
 
 } // namespace
--- a/src/Control/PromptNews.h
+++ b/src/Control/PromptNews.h
@@ -11,20 +11,24 @@
 
 namespace catkinloft {
 
-/// \brief Which prompt parts this router has sent to which replicas, until all routers were told.
+/// \brief Queue of the prompt parts that this router has sent to replicas, until they were announced to
+/// all routers.
 ///
-/// Load: 73 routers of which each beat reaches 16. Harm prevented: a router that does not hear that
-/// a replica keeps a prompt has it read again elsewhere. So news rides on as many beats as it takes
-/// to reach every router once, and what was told lately is not told again.
+/// Handles fleets in which one heartbeat reaches only a part of the routers, for example 16 of 73. A
+/// router that does not know that a replica caches a prompt has another replica process it again.
+/// Therefore each update is sent with as many heartbeats as it takes to reach every router once. Parts
+/// that were announced recently are not announced again.
 class PromptNews
 {
 public:
     explicit PromptNews(const Clock &clock) : m_clock(clock) { }
 
+    /// \brief Records that \a prompt was sent to \a replica.
     void note(const std::string &replica, std::span<const PromptPart> prompt);
 
-    /// \returns what the next beat has to tell.
-    /// \param rounds beats that it takes to reach every router. \param most parts in one beat.
+    /// \returns the updates for the next heartbeat.
+    /// \param rounds number of heartbeats that it takes to reach every router.
+    /// \param most maximum number of parts in one heartbeat.
     PromptsByReplica take(std::size_t rounds, std::size_t most);
 
 private:
@@ -32,12 +36,13 @@
     {
         std::string replica;
         std::uint64_t part = 0;
-        std::size_t told = 0; ///< Beats that carried it.
+        std::size_t told = 0; ///< Heartbeats that contained it.
     };
 
     const Clock &m_clock;
     std::deque<Item> m_items;
-    std::unordered_map<std::uint64_t, TimePoint> m_noted; ///< By hash of replica and part.
+    /// When a part was last queued, by hash of replica and part.
+    std::unordered_map<std::uint64_t, TimePoint> m_noted;
 };
 
 } // namespace catkinloft
--- a/src/Control/PromptSurvey.h
+++ b/src/Control/PromptSurvey.h
@@ -13,18 +13,20 @@
 
 namespace catkinloft {
 
-/// \brief Which engines this router asks for the prompts that they keep, after it has started.
+/// \brief Prompt discovery: decides which engines this router asks for their cached prompts after its
+/// start.
 ///
-/// Load: all routers lose power while engines keep hundreds of prompts, and callers return at once.
-/// Harm prevented: what nobody knows to be kept is read again wherever the first requests happen to
-/// go, some 260,000 tokens or four seconds of an engine on a fleet of eleven routers and twelve
-/// engines, and the callers behind those readings are late.
+/// Handles a power loss of all routers while the engines keep hundreds of prompts cached and callers
+/// return at once. Without the lists, the engines that the first requests happen to reach process
+/// cached prompts again: on a fleet of eleven routers and twelve engines 260,000 tokens, or four
+/// seconds of an engine, which delay the requests that wait behind them.
 ///
-/// The engines are shared out by their rendezvous order over the registered routers, so that each
-/// is asked once and all lists are known a few milliseconds after the start: a list costs an engine
-/// as much as a small request. An engine of which nothing was told a round later is asked by the
-/// next router of its order, since the first may be gone for good. A router that doesn't know the
-/// others asks nobody: hundreds that each ask every engine keep the engines from their work.
+/// The engines are distributed over the registered routers by rendezvous hashing, so that each engine
+/// is asked once and all lists are known a few milliseconds after the start; a list costs an engine as
+/// much as a small request. If the list of an engine is still unknown a round later, the next router in
+/// the engine's order asks it, as the first one may be gone for good. A router that does not know the
+/// other routers asks no engine: hundreds of routers that each ask every engine would block the
+/// engines.
 class PromptSurvey
 {
 public:
@@ -32,42 +34,43 @@
     {
         const Clock &clock;
         std::string self; ///< Peer address of this router.
-        /// Time for an answer and for telling it: both take milliseconds on a sound network.
+        /// Time for an answer and its announcement; both take milliseconds on a healthy network.
         Duration round = std::chrono::milliseconds(250);
-        int rounds = 3; ///< Two routers of three may be gone.
-        /// Parts that a router is told of all engines together, some 25 bytes each. Hundreds of
-        /// engines keep ten times as many, which would cost the weakest VMs seconds of their
-        /// processor just as callers return.
+        int rounds = 3; ///< With three rounds, two of the three routers that may ask can be gone.
+        /// Parts of all engines together that are announced to a router, about 25 bytes each. Hundreds
+        /// of engines cache ten times as many, which would cost the weakest VMs seconds of processor
+        /// time just as callers return.
         std::size_t maxTold = 12'000;
-        /// Routers that are told of one engine, since hundreds of lists that each go to hundreds of
-        /// routers delay the first requests after the start.
+        /// Routers that the list of one engine is announced to. Sending hundreds of lists to hundreds
+        /// of routers each would delay the first requests after the start.
         std::size_t maxListeners = 78;
     };
 
     explicit PromptSurvey(Options options) : m_options(std::move(options)) { }
 
-    /// \brief Takes over the other registered routers.
+    /// \brief Sets the other registered routers.
     void setRouters(std::span<const RegisteredRouter> routers);
 
-    /// \brief Notes that the list of \a incarnation is known.
+    /// \brief Records that the list of \a incarnation is known.
     void listed(const std::string &incarnation) { m_listed.insert(incarnation); }
 
-    /// \brief Notes that a router which runs for longer tells this one what it knows: engines that
-    /// were not asked by now need not be.
+    /// \brief Records that this router receives the state of a router that has run for longer. Engines
+    /// that were not asked by the end of the first round then need not be asked.
     void peerKnows() { m_peerKnows = true; }
 
-    /// \returns which of \a engines this router has to ask now; each is named once.
+    /// \returns those of \a engines that this router must ask now; each is returned once.
     std::vector<ReplicaRecord> due(std::span<const ReplicaRecord> engines);
 
-    /// \returns which of the parts that one of \a engines keeps the other routers are told, the
-    /// largest first: what is not told may be read again.
+    /// \returns the parts to announce to the other routers, the largest first, as parts that are not
+    /// announced may be processed again.
+    /// \param kept parts that one engine caches. \param engines number of engines.
     std::vector<std::uint64_t> toTell(std::span<const PromptPart> kept, std::size_t engines) const;
 
-    /// \returns the peer addresses of the routers that are told what \a incarnation keeps: those
-    /// that would ask it next come first.
+    /// \returns the peer addresses of the routers that the list of \a incarnation is announced to. The
+    /// routers that would ask it next come first.
     std::vector<std::string> toBeTold(const std::string &incarnation) const;
 
-    /// \returns whether nothing will be due any more.
+    /// \returns whether no further engine will be due.
     bool isOver() const;
 
 private:
@@ -75,8 +78,9 @@
     int rankFor(const std::string &incarnation) const;
 
     Options m_options;
-    std::optional<std::vector<std::string>> m_routers; ///< Addresses of the others, once known.
-    std::optional<TimePoint> m_begin; ///< Engines and routers were known for the first time.
+    std::optional<std::vector<std::string>> m_routers; ///< Addresses of the other routers.
+    /// When engines and routers were known for the first time.
+    std::optional<TimePoint> m_begin;
     std::set<std::string> m_listed;
     std::set<std::string> m_asked;
     bool m_peerKnows = false;
--- a/src/Control/RouterDirectory.cpp
+++ b/src/Control/RouterDirectory.cpp
@@ -106,9 +106,9 @@
     return &m_routers[m_usable[m_order.at(pool->second.groups[engine])]];
 }
 
-/// The less loaded of two random routers: with the least loaded of all, every caller who asks
-/// within the lag of the loads would take the same one. Where a load is not known, as for most of
-/// 890 routers, the first draw stands, which is even on average.
+/// Returns the less loaded of two random routers. If it returned the least loaded of all, every caller
+/// who asks before the loads are updated would be given the same one. If a load is not known, as for
+/// most of 890 routers, the first draw is returned, which distributes callers evenly on average.
 const RouterView &RouterDirectory::lessLoaded(const Query &query, const RandomSource &random) const
 {
     std::vector<std::size_t> near;
@@ -116,7 +116,7 @@
         if (m_routers[it].failureDomain == query.failureDomain)
             near.push_back(it);
     }
-    // A failure domain with a single router would make that one hot.
+    // The only router of a failure domain would be overloaded by all of its callers.
     const std::vector<std::size_t> &from = near.size() > 1 ? near : m_usable;
     const RouterView &a = m_routers[from[below(random, from.size())]];
     const RouterView &b = m_routers[from[below(random, from.size())]];
--- a/src/Control/RpcClient.cpp
+++ b/src/Control/RpcClient.cpp
@@ -2,14 +2,15 @@
 
 #include <jsonrpccpp/client.h>
 
-// The only C++14 unit: see CMakeLists.txt. It includes no header of ours that needs C++20.
+// This is the only C++14 translation unit (see CMakeLists.txt). It must not include project headers
+// that need C++20.
 
 namespace catkinloft {
 namespace internal {
 
 namespace {
 
-/// Keeps the text in place of sending it, since the library's own connectors block.
+/// Stores the text instead of sending it, as the connectors of the library block.
 class TextConnector : public jsonrpc::IClientConnector
 {
 public:
--- a/src/Control/RpcClient.h
+++ b/src/Control/RpcClient.h
@@ -8,7 +8,7 @@
 
 namespace catkinloft::internal {
 
-/// \returns \a method and \a params as the text of a JSON-RPC notification.
+/// \returns a JSON-RPC notification with \a method and \a params.
 std::string encodeNotification(const std::string &method, const Json::Value &params);
 
 } // namespace catkinloft::internal
--- a/src/Control/StoreReadPlan.cpp
+++ b/src/Control/StoreReadPlan.cpp
@@ -31,7 +31,8 @@
     const bool knowsNobody = state.routers <= 1;
     const Duration shared =
             m_options.fleetPause * (knowsNobody ? m_options.unknownFleet : state.routers);
-    // One failure may be a lost packet; whoever knows nobody can't tell and tries a second time.
+    // A single failure may be a lost packet. A router that knows no other cannot tell and calls a
+    // second time.
     const bool tryAgain = knowsNobody && m_failures < 2;
     const Duration whole = state.reader || !m_failed || tryAgain
             ? m_options.readerPause
--- a/src/Control/StoreReadPlan.h
+++ b/src/Control/StoreReadPlan.h
@@ -7,14 +7,14 @@
 
 /// \brief Decides when a router reads one thing from the store: the configuration, or the replicas.
 ///
-/// Load: hundreds of routers while the store is away, or turns a third of them away. Harm
-/// prevented: calls that are refused cost like others, and a router whose peers still tell it what
-/// they read gains nothing by its own. So all routers together try at a bounded rate, and one that
-/// failed tries again only while it reads for the others or has nothing fresh enough.
+/// Handles hundreds of routers while the store is unavailable or refuses a third of them. Refused calls
+/// cost as much as others, and a router whose peers still send it what they read does not need calls of
+/// its own. Therefore the call rate of all routers together is bounded, and a router whose call failed
+/// calls again only while it reads for the others or what it has is too old.
 ///
-/// A router that starts meanwhile knows nobody, since the key by which routers know each other is
-/// in the store too. It tries twice and then waits as one of a large fleet does. The first of all
-/// that is answered wakes the others.
+/// A router that starts during an outage knows no other router, as the key that authenticates routers
+/// is in the store too. It calls twice and then waits as long as a router of a large fleet. The first
+/// router that receives an answer makes the others retry early.
 class StoreReadPlan
 {
 public:
@@ -22,20 +22,20 @@
     {
         const Clock &clock;
         RandomSource random;
-        Duration readerPause = std::chrono::milliseconds(300); ///< Between tries of a reader.
-        Duration fleetPause = std::chrono::milliseconds(15); ///< Between tries of all others.
-        /// Size of the fleet that a router allows for which knows no other.
+        Duration readerPause = std::chrono::milliseconds(300); ///< Between calls of a reader.
+        Duration fleetPause = std::chrono::milliseconds(15); ///< Between calls of all others.
+        /// Fleet size that a router assumes if it knows no other router.
         int unknownFleet = 300;
-        /// A failure that is older does not keep a router from reading for the others.
+        /// Time after which a failure no longer keeps a router from reading for the others.
         Duration failureLife = std::chrono::seconds(10);
     };
 
-    /// \brief What a router knows when it decides.
+    /// \brief State of the router that the decision depends on.
     struct State
     {
-        bool reader = false; ///< It reads for the others.
-        bool overdue = false; ///< What it has is too old, or it has nothing.
-        int routers = 1; ///< How many are known, this one included.
+        bool reader = false; ///< This router reads for the others.
+        bool overdue = false; ///< The last read is too old, or there was none.
+        int routers = 1; ///< Number of known routers, including this one.
     };
 
     explicit StoreReadPlan(Options options) : m_options(std::move(options)) { }
@@ -43,34 +43,35 @@
     /// \returns whether to call the store now.
     bool isDue(const State &state) const;
 
-    /// \brief Notes that the store is being called.
+    /// \brief Records the start of a call.
     void began();
 
-    /// \brief Notes that the call brought what was asked for.
+    /// \brief Records that the call returned the requested data.
     void answered();
 
-    /// \brief Notes that the call was refused or not answered.
+    /// \brief Records that the call was refused or not answered.
     void failed();
 
-    /// \brief Notes an answer that there is nothing yet: it is asked again after a reader's pause.
+    /// \brief Records an answer without data, as nothing is stored yet. The next call is due after the
+    /// pause of a reader.
     void foundNothing();
 
-    /// \brief Notes that the store answered another router, or another call of this one, at \a at.
+    /// \brief Records that the store answered another router, or another call of this one, at \a at.
     ///
-    /// Whoever failed before that tries again soon, but only once in each pause: a store may refuse
-    /// some and answer others.
+    /// If the last call failed before that, the next one is due early, but only once in each pause, as
+    /// a store may refuse some routers and answer others.
     void answeredElsewhere(TimePoint at);
 
     /// \returns whether a call is in progress.
     bool isCalling() const { return m_calling; }
 
-    /// \returns whether the last call failed, and lately.
+    /// \returns whether the last call failed less than Options::failureLife ago.
     bool isFailing() const;
 
-    /// \returns how long the store has not answered while it was called; zero where it was not.
+    /// \returns the time since the first call without an answer began; zero if there is none.
     Duration silence() const;
 
-    /// \brief Ends the silence of a router that need not call any more.
+    /// \brief Resets silence(), for a router that no longer needs to call.
     void rest() { m_silentSince = TimePoint::max(); }
 
 private:
@@ -79,14 +80,14 @@
     void end(bool failed);
 
     Options m_options;
-    TimePoint m_endedAt = TimePoint::min(); ///< Of the last call that brought nothing.
-    TimePoint m_silentSince = TimePoint::max(); ///< Beginning of the first call without an answer.
-    double m_spread = 1; ///< Of the pause, so that routers that failed together differ.
-    bool m_broughtNothing = false; ///< The last call failed or found nothing.
-    bool m_failed = false; ///< The last call did.
-    int m_failures = 0; ///< In a row.
+    TimePoint m_endedAt = TimePoint::min(); ///< Of the last call that returned no data.
+    TimePoint m_silentSince = TimePoint::max(); ///< Start of the first call without an answer.
+    double m_spread = 1; ///< Factor of the pause, so that routers do not retry at the same time.
+    bool m_broughtNothing = false; ///< The last call failed or returned no data.
+    bool m_failed = false; ///< The last call failed.
+    int m_failures = 0; ///< Consecutive failures.
     TimePoint m_answeredElsewhere = TimePoint::min();
-    TimePoint m_wokenAt = TimePoint::min(); ///< When a call began because of that.
+    TimePoint m_wokenAt = TimePoint::min(); ///< When a call began early because of that.
     bool m_calling = false;
 };
 
--- a/src/Control/TrafficGovernor.h
+++ b/src/Control/TrafficGovernor.h
@@ -7,21 +7,21 @@
 
 namespace catkinloft {
 
-/// \brief Counts every byte that this router sends for coordination and probes and holds the node
-/// under its limit by refusing what can wait.
+/// \brief Token bucket that counts all bytes this router sends for coordination and probes, and keeps
+/// the router below its byte limit by refusing messages that can wait.
 ///
-/// Load: 890 routers at 25,000 changes of configuration a day, with bursts when a failure domain
-/// fails. Limit: the users allow 3 KB a second and node. A bucket of ten seconds' worth lets a
-/// change spread at once and still holds the mean. Probes and their answers are never held back:
-/// late ones would make live routers look dead, which causes still more news. They cost about a
-/// sixth of the limit.
+/// Handles 890 routers with 25,000 configuration changes a day, and bursts when a failure domain
+/// fails. The limit of 3 KB a second for each node is a requirement of the users. A bucket of ten
+/// seconds allows a change to propagate at once and still bounds the mean. Probes and their answers,
+/// which cost about a sixth of the limit, are never delayed: late ones would make live routers appear
+/// dead, which would cause even more updates.
 class TrafficGovernor
 {
 public:
-    /// What goes on the wire around a datagram: IPv4 and UDP headers.
+    /// IPv4 and UDP headers of a datagram.
     static constexpr std::size_t DatagramHeaders = 28;
 
-    /// Estimate for one short TCP exchange: handshake, acknowledgements and teardown, 40 bytes
+    /// Estimated overhead of a short TCP exchange: handshake, acknowledgements and teardown, 40 bytes
     /// each.
     static constexpr std::size_t ConnectionOverhead = 7 * 40;
 
@@ -34,16 +34,16 @@
 
     explicit TrafficGovernor(Options options);
 
-    /// \brief Counts a datagram of \a n bytes that has been sent.
+    /// \brief Counts a sent datagram of \a n bytes.
     void countDatagram(std::size_t n) { count(n + DatagramHeaders); }
 
-    /// \brief Counts \a n bytes with their headers, as of a call on a connection that is kept.
+    /// \brief Counts \a n bytes that include headers, as for a call on a persistent connection.
     void countBytes(std::size_t n) { count(n); }
 
     /// \brief Counts an exchange over TCP in which this router sent \a n bytes.
     void countConnection(std::size_t n) { count(n + ConnectionOverhead); }
 
-    /// \returns whether something that can wait may be sent now. It leaves half of the bucket for
+    /// \returns whether a message that could wait may be sent now. Half of the bucket is reserved for
     /// probes.
     bool allowsDeferrable();
 
--- a/src/Control/WeightBudget.cpp
+++ b/src/Control/WeightBudget.cpp
@@ -49,8 +49,8 @@
 
 void WeightBudget::update()
 {
-    // All slots are watched, since a dead holder's is seen to be free only after a whole lease of
-    // silence; once one is held the others are let go.
+    // Tries to take all slots, as the slot of a stopped holder is detected as free only after a whole
+    // lease without renewal. Once one slot is held, the others are released.
     const bool wanted = m_wanted || isPaused();
     bool found = false;
     for (const auto &it : m_slots) {
--- a/src/Control/WeightBudget.h
+++ b/src/Control/WeightBudget.h
@@ -9,13 +9,14 @@
 
 namespace catkinloft {
 
-/// \brief This router's share of the weight store: one of a few slots, each a lease.
+/// \brief Limits concurrent loads from the weight store in the whole fleet. Each of a few slots is a
+/// lease; a router must hold one to load.
 ///
-/// Load: a new version for thousands of engines at once, ordered by up to 256 routers.
-/// Harm prevented: a store that answers 429 to everybody, so that every load takes longer, and
-/// routers that each keep within a limit whose sum exceeds the store's.
-/// Reason for the limit: slots bound how many loads run at a time in the whole fleet; a slot whose
-/// holder died comes free when its lease ends, without anybody counting.
+/// Handles a new version for thousands of engines at once, ordered by up to 256 routers. Prevents that
+/// the store answers 429 to all of them, which delays every load, and that routers which each obey a
+/// limit of their own together exceed the limit of the store. The number of slots bounds the loads that
+/// run at a time in the fleet; the slot of a router that has stopped becomes free when its lease
+/// expires, without any counting.
 class WeightBudget
 {
 public:
@@ -26,20 +27,21 @@
         TableService &table;
         std::string self;
         std::size_t slots = 4;
-        /// Up to 256 routers look at all slots this often: 4 * 256 / 15 = 68 reads/s at worst.
+        /// Interval in which each router reads all slots. With 256 routers these are at most
+        /// 4 * 256 / 15 = 68 reads/s.
         Duration takeInterval = std::chrono::seconds(15);
     };
 
     explicit WeightBudget(Options options);
 
-    /// \brief Whether this router has a load to order.
+    /// \brief Sets whether this router has a load to order.
     void setWanted(bool wanted);
 
-    /// \brief Honours the store's Retry-After: keeps the slot without using it, so that nobody else
-    /// asks in its stead. The store hears at most one question a slot in that time.
+    /// \brief Applies the Retry-After of the store: keeps the slot without using it, so that no other
+    /// router sends requests instead. The store receives at most one request for each slot in that time.
     void backOff(Duration retryAfter);
 
-    /// \returns whether the store may be asked now.
+    /// \returns whether a request may be sent to the store now.
     bool mayAsk() const;
     void poll();
     TimePoint nextDeadline() const;
--- a/src/Control/internal/NotificationReader.cpp
+++ b/src/Control/internal/NotificationReader.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Hands texts to the dispatcher of the library; notifications have no response.
+/// Passes texts to the dispatcher of the library; notifications have no response.
 class TextConnector final : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -54,7 +54,7 @@
     try {
         m_d->connector.OnRequest(text);
     } catch (const Json::Exception &) {
-        // Nested too deeply: rubbish like any other.
+        // Nested too deeply: malformed like any other invalid input.
     }
     return std::exchange(m_d->receiver.params, std::nullopt);
 }
--- a/src/Control/internal/NotificationReader.h
+++ b/src/Control/internal/NotificationReader.h
@@ -10,7 +10,7 @@
 
 namespace catkinloft::internal {
 
-/// \brief Reads JSON-RPC notifications of one method.
+/// \brief Parses JSON-RPC notifications of one method.
 class NotificationReader
 {
 public:
@@ -19,7 +19,7 @@
     NotificationReader(const NotificationReader &) = delete;
     NotificationReader &operator=(const NotificationReader &) = delete;
 
-    /// \returns the named parameters in \a text; nothing where it is no such notification.
+    /// \returns the named parameters in \a text; nothing if it is not a notification of the method.
     std::optional<Json::Value> read(const std::string &text);
 
 private:
