--- a/src/Control/EntryDirectory.h
+++ b/src/Control/EntryDirectory.h
@@ -15,10 +15,10 @@
 ///
 /// Handles callers that query one router and keep the answer for seconds, some of them three times
 /// as long. Prevents that callers lose time on refusals of a router that stops or that
-/// cannot prove that its configuration is current. Callers pick any address of an answer, so a VM with
-/// an eighth of a core would receive as many callers as one with half a core. Therefore each router is
-/// included with a probability equal to the ratio of its processor share to the largest one. The
-/// answer is a hint: a router that is not included still serves.
+/// cannot prove that its configuration is current. Callers pick any address of an answer, so a VM
+/// with an eighth of a core would receive as many callers as one with half a core. Therefore each
+/// router is included with a probability equal to the ratio of its processor share to the largest
+/// one. The answer is a hint: a router that is not included still serves.
 class EntryDirectory
 {
 public:
--- a/src/Control/FleetRegistration.cpp
+++ b/src/Control/FleetRegistration.cpp
@@ -17,8 +17,8 @@
 /// Maximum number of rows read; several times the largest planned fleet.
 constexpr std::size_t MaxRows = 5000;
 
-/// Words of 8 bytes in a new key: 64 bytes is the longest key that HMAC-SHA-256 uses without hashing
-/// it first.
+/// Words of 8 bytes in a new key: 64 bytes is the longest key that HMAC-SHA-256 uses without
+/// hashing it first.
 constexpr int KeyWords = 8;
 
 void logFailure(const char *what, const Error &error)
--- a/src/Control/FleetRegistration.h
+++ b/src/Control/FleetRegistration.h
@@ -11,13 +11,13 @@
 
 namespace catkinloft {
 
-/// \brief Service discovery of the routers: the table service holds a row for each router and the key
-/// that signs the messages between them. Reading the rows again is the only way to find a router from
-/// which no router has received a heartbeat.
+/// \brief Service discovery of the routers: the table service holds a row for each router and the
+/// key that signs the messages between them. Reading the rows again is the only way to find a
+/// router from which no router has received a heartbeat.
 ///
 /// Handles hundreds of routers that start at the same time. Three calls from each would queue for
-/// seconds at the one partition of the table that holds their rows. Therefore one read returns the key,
-/// all rows and whether the row of this router exists; after a restart nothing is written.
+/// seconds at the one partition of the table that holds their rows. Therefore one read returns the
+/// key, all rows and whether the row of this router exists; after a restart nothing is written.
 class FleetRegistration
 {
 public:
@@ -27,8 +27,8 @@
         RandomSource random;
         RegisteredRouter self;
         std::function<void(const SharedKey &)> onKey; ///< Called when the key is known.
-        /// Called with all other routers once this one is registered as well. Of any two routers that
-        /// start, the one that reads later finds the other.
+        /// Called with all other routers once this one is registered as well. Of any two routers
+        /// that start, the one that reads later finds the other.
         std::function<void(const std::vector<RegisteredRouter> &)> onRouters;
         /// Called at the end of each refresh() with whether all its calls were answered.
         std::function<void(bool answered)> onEnd = [](bool) {};
@@ -36,16 +36,16 @@
 
     explicit FleetRegistration(Options options) : m_options(std::move(options)) { }
 
-    /// \brief Reads all rows and writes the key and the row of this router if they are missing. Must be
-    /// called until isComplete(), and periodically afterwards.
+    /// \brief Reads all rows and writes the key and the row of this router if they are missing.
+    /// Must be called until isComplete(), and periodically afterwards.
     void refresh();
 
-    /// \returns whether the key and the list of routers were read at least once while this router was
-    /// registered.
+    /// \returns whether the key and the list of routers were read at least once while this router
+    /// was registered.
     bool isComplete() const { return m_complete; }
 
-    /// \brief Removes the row of this router for good. A failure is harmless, as the row of a router
-    /// that sends no heartbeats is not used.
+    /// \brief Removes the row of this router for good. A failure is harmless, as the row of a
+    /// router that sends no heartbeats is not used.
     void leave();
 
 private:
--- a/src/Control/FleetView.cpp
+++ b/src/Control/FleetView.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// Fraction of the time in which changes must become active. A healthy reader receives an answer of
-/// the store within a fifth of that time, and its previous answer is as old again; a reader that waits
-/// longer than this fraction has lost the store.
+/// the store within a fifth of that time, and its previous answer is as old again; a reader that
+/// waits longer than this fraction has lost the store.
 constexpr double MaxSilencePart = 0.65;
 
 /// Rounds of heartbeats in which one is received from every running router, even if one datagram is
--- a/src/Control/FleetView.h
+++ b/src/Control/FleetView.h
@@ -13,14 +13,15 @@
 
 namespace catkinloft {
 
-/// \brief View of the routers in the fleet, derived from the heartbeats that they send to each other.
+/// \brief View of the routers in the fleet, derived from the heartbeats that they send to each
+/// other.
 ///
-/// Handles nine to some hundred routers, of which any number may stop or start at the same time. The
-/// result is a hint: a caller that is given the address of a router that has just stopped uses another
-/// one. Each router sends a heartbeat to a bounded number of others at a time, so that its cost does
-/// not grow with the fleet. In a large fleet, a router therefore receives a heartbeat from each other
-/// router only once in several intervals. Decisions that all routers must make alike are based on the
-/// rows in the store and on the heartbeats of the last two rounds.
+/// Handles nine to some hundred routers, of which any number may stop or start at the same time.
+/// The result is a hint: a caller that is given the address of a router that has just stopped uses
+/// another one. Each router sends a heartbeat to a bounded number of others at a time, so that its
+/// cost does not grow with the fleet. In a large fleet, a router therefore receives a heartbeat
+/// from each other router only once in several intervals. Decisions that all routers must make
+/// alike are based on the rows in the store and on the heartbeats of the last two rounds.
 class FleetView
 {
 public:
@@ -29,13 +30,14 @@
         const Clock &clock;
         std::string self; ///< Name of this router.
         std::string selfAddress = {}; ///< `ip:port` for the other routers.
-        /// A router without a heartbeat for this long is not named to callers; almost four heartbeat
-        /// intervals.
+        /// A router without a heartbeat for this long is not named to callers; almost four
+        /// heartbeat intervals.
         Duration silence = std::chrono::milliseconds(1500);
         Duration configLimit = std::chrono::seconds(2); ///< In which changes must become active.
         /// How long a router without heartbeats still counts as one that shares limits.
         Duration remembered = std::chrono::seconds(30);
-        /// How long a router that did not answer is suspected, unless a heartbeat of it is received.
+        /// How long a router that did not answer is suspected, unless a heartbeat of it is
+        /// received.
         Duration suspicion = std::chrono::seconds(10);
     };
 
@@ -71,7 +73,8 @@
     void setConfigLimit(Duration limit) { m_options.configLimit = limit; }
 
     /// \brief Handles a received heartbeat.
-    /// \returns false if it was sent by this router or is not newer than the last one of its sender.
+    /// \returns false if it was sent by this router or is not newer than the last one of its
+    /// sender.
     bool receive(const RouterBeat &beat);
 
     /// \brief Sets the routers that are registered in the store. Removes routers that are not
@@ -82,15 +85,16 @@
     bool knowsRegistered() const { return m_registeredAt.has_value(); }
 
     /// \brief Records that router \a name did not answer a request that was sent at \a asked. The
-    /// router is not chosen as a reader until its next heartbeat is received or the suspicion expires.
+    /// router is not chosen as a reader until its next heartbeat is received or the suspicion
+    /// expires.
     void noteUnanswered(const std::string &name, TimePoint asked);
 
-    /// \returns up to \a n addresses to send a heartbeat to; successive calls go through all addresses
-    /// in turn.
+    /// \returns up to \a n addresses to send a heartbeat to; successive calls go through all
+    /// addresses in turn.
     std::vector<std::string> nextTargets(std::size_t n);
 
-    /// \returns the addresses of the \a n routers that store the reports about \a subject. The result
-    /// is the same on all routers that know the same others. This router is not included.
+    /// \returns the addresses of the \a n routers that store the reports about \a subject. The
+    /// result is the same on all routers that know the same others. This router is not included.
     std::vector<std::string> keepersOf(std::string_view subject, std::size_t n) const;
 
     /// \returns whether this router is one of the \a n that are chosen for \a subject; false before
@@ -103,33 +107,36 @@
     /// \returns the number of heartbeats that it takes to reach every other router once.
     std::size_t beatsInRound() const;
 
-    /// \returns the other routers whose last heartbeat is not older than Options::silence, including
-    /// those that leave.
+    /// \returns the other routers whose last heartbeat is not older than Options::silence,
+    /// including those that leave.
     std::vector<const Peer *> live() const;
 
-    /// \returns the registered routers from which no heartbeat was received yet. Empty once the first
-    /// rounds after the start of this router are over.
+    /// \returns the registered routers from which no heartbeat was received yet. Empty once the
+    /// first rounds after the start of this router are over.
     ///
     /// Handles the start of all routers and callers at the same time. Without it, the routers whose
-    /// heartbeats come first would be the only ones named to callers and would read the store for all.
+    /// heartbeats come first would be the only ones named to callers and would read the store for
+    /// all.
     std::vector<RegisteredRouter> unheard() const;
 
-    /// \returns the routers of unheard() that may be named to callers. As the store also has rows of
-    /// routers that are gone for good, they are named only as long as first heartbeats usually take.
+    /// \returns the routers of unheard() that may be named to callers. As the store also has rows
+    /// of routers that are gone for good, they are named only as long as first heartbeats usually
+    /// take.
     std::vector<RegisteredRouter> unheardToName() const;
 
-    /// \returns the number of routers that share the fleet's limits, including this one. Routers whose
-    /// heartbeats stopped count for Options::remembered, since they may be cut off but still serve.
+    /// \returns the number of routers that share the fleet's limits, including this one. Routers
+    /// whose heartbeats stopped count for Options::remembered, since they may be cut off but still
+    /// serve.
     int sharers() const;
 
     /// \brief Chooses the routers that read the store for the others.
     ///
-    /// Handles hundreds of routers and replicas. Prevents that every router reads the store: each read
-    /// costs as much as a small request, and one a second from every router would cost a twentieth of
-    /// the total revenue. There are two readers, so that one of them may stop. If both are lost, each
-    /// router reads for itself until others have taken over. The readers are the routers with the
-    /// largest VMs, and the same on all routers that have received a heartbeat of every router or the
-    /// rows of the store. Disagreement only causes additional reads.
+    /// Handles hundreds of routers and replicas. Prevents that every router reads the store: each
+    /// read costs as much as a small request, and one a second from every router would cost a
+    /// twentieth of the total revenue. There are two readers, so that one of them may stop. If both
+    /// are lost, each router reads for itself until others have taken over. The readers are the
+    /// routers with the largest VMs, and the same on all routers that have received a heartbeat of
+    /// every router or the rows of the store. Disagreement only causes additional reads.
     ///
     /// \param self this router.
     ///
@@ -139,13 +146,13 @@
     /// \returns the peer with name \a name if it is live, otherwise null.
     const Peer *find(const std::string &name) const;
 
-    /// \returns the peer address of router \a name; empty if it is neither registered nor known by a
-    /// heartbeat.
+    /// \returns the peer address of router \a name; empty if it is neither registered nor known by
+    /// a heartbeat.
     std::string peerAddressOf(const std::string &name) const;
 
     /// \returns the live router with the newest configuration revision among those whose freshness
-    /// proof is not older than \a maxAge; of several, the one with the youngest proof. Null if there is
-    /// none.
+    /// proof is not older than \a maxAge; of several, the one with the youngest proof. Null if
+    /// there is none.
     const Peer *freshest(Duration maxAge) const;
 
 private:
--- a/src/Control/Member.h
+++ b/src/Control/Member.h
@@ -39,8 +39,9 @@
 
 /// \returns whether update \a a replaces the known state \a b of the same member.
 ///
-/// Handles 890 routers that receive updates in any order, twice or never. The order of (incarnation,
-/// state) is total, so that all routers arrive at the same state whatever the order of the updates.
+/// Handles 890 routers that receive updates in any order, twice or never. The order of
+/// (incarnation, state) is total, so that all routers arrive at the same state whatever the order
+/// of the updates.
 constexpr bool overrides(const Member &a, const Member &b)
 {
     return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.state > b.state;
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t SyncPage = 6;
 
 /// Transmissions of one update for each factor of ten in the number of members. Without loss, three
-/// times log10(890) = 9 transmissions reach all but one in e^9 members; the comparison of full lists
-/// covers the rest.
+/// times log10(890) = 9 transmissions reach all but one in e^9 members; the comparison of full
+/// lists covers the rest.
 constexpr double SendsPerDecade = 3;
 
 /// Pause before gossip is sent a second time. It is longer than a round trip, so that the members
@@ -319,8 +319,8 @@
     return m_probe->sent + m_options.timing.ackTimeout * m_probe->tries;
 }
 
-/// Retries the probe directly before it asks other members: a lost datagram is far more likely than a
-/// broken path, and indirect probes cost a dozen messages.
+/// Retries the probe directly before it asks other members: a lost datagram is far more likely than
+/// a broken path, and indirect probes cost a dozen messages.
 void Membership::repeatProbe()
 {
     const auto it = m_members.find(m_probe->target);
@@ -426,8 +426,8 @@
 }
 
 /// Handles routers that start in a fleet of 890 and read 150 pages each, 1,200 times a day in the
-/// fleet. Each page is requested from another member, so that no member has to send the full list. A
-/// lost page is requested again in the next period.
+/// fleet. Each page is requested from another member, so that no member has to send the full list.
+/// A lost page is requested again in the next period.
 void Membership::requestPage()
 {
     if (m_options.mayDefer && !m_options.mayDefer())
@@ -537,8 +537,8 @@
 }
 
 /// Notifies members directly that this router leaves, as many as there is time for. Other members
-/// disseminate the update only a bounded number of times; a member that it does not reach would name
-/// the stopped router to callers until probes fail.
+/// disseminate the update only a bounded number of times; a member that it does not reach would
+/// name the stopped router to callers until probes fail.
 void Membership::tellLeaving()
 {
     for (int i = 0; i < m_options.timing.gossipFanout && !m_untold.empty(); ++i) {
--- a/src/Control/NewsQueue.h
+++ b/src/Control/NewsQueue.h
@@ -13,15 +13,16 @@
 ///
 /// Handles 2,600 joins, leaves and deaths a day among 890 routers, and hundreds at once when a
 /// failure domain fails. Prevents messages from growing with the number of updates, which would
-/// exceed the byte limit in exactly that situation: the updates wait instead. Those sent least often
-/// go first, so that a burst does not starve any of them.
+/// exceed the byte limit in exactly that situation: the updates wait instead. Those sent least
+/// often go first, so that a burst does not starve any of them.
 class NewsQueue
 {
 public:
     /// \brief Queues \a news in place of an older update about the same member.
     void add(const Member &news);
 
-    /// \returns at most \a maxItems updates. Each is removed after it was returned \a maxSends times.
+    /// \returns at most \a maxItems updates. Each is removed after it was returned \a maxSends
+    /// times.
     std::vector<Member> take(std::size_t maxItems, int maxSends);
 
     std::size_t size() const { return m_items.size(); }
--- a/src/Control/PeerCatchUp.cpp
+++ b/src/Control/PeerCatchUp.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Fractions of the time in which changes must become active. A router whose freshness proof is older
-/// than the first has received no answer from its reader for several asks. A peer whose proof is
-/// younger than the second has just reached the store and is asked at once.
+/// Fractions of the time in which changes must become active. A router whose freshness proof is
+/// older than the first has received no answer from its reader for several asks. A peer whose proof
+/// is younger than the second has just reached the store and is asked at once.
 constexpr double OldProofPart = 1.25;
 constexpr double FreshProofPart = 0.5;
 
--- a/src/Control/PeerCatchUp.h
+++ b/src/Control/PeerCatchUp.h
@@ -10,8 +10,8 @@
 /// \brief Decides when a router requests the full state of a peer: the configuration, the replicas,
 /// and which prompts these cache.
 ///
-/// Handles four heartbeats a second from each of up to sixteen peers. Prevents that a router that has
-/// missed a change serves an old configuration, and that a router requests the state at every
+/// Handles four heartbeats a second from each of up to sixteen peers. Prevents that a router that
+/// has missed a change serves an old configuration, and that a router requests the state at every
 /// heartbeat and spends processor time and bytes on answers without new information.
 class PeerCatchUp
 {
@@ -44,13 +44,13 @@
     /// \brief Records that a peer reported cached prompts; \a any is whether there were any.
     void promptsTold(bool any);
 
-    /// \returns the maximum age of a peer's freshness proof with which its state is worth requesting if
-    /// the proof of this router is too old.
+    /// \returns the maximum age of a peer's freshness proof with which its state is worth
+    /// requesting if the proof of this router is too old.
     Duration maxPeerProofAge() const;
 
 private:
-    /// Peers that may report no cached prompt before the router stops asking. One peer may itself have
-    /// just started; if three report none, there probably are none.
+    /// Peers that may report no cached prompt before the router stops asking. One peer may itself
+    /// have just started; if three report none, there probably are none.
     static constexpr int MaxEmptyAnswers = 3;
 
     Options m_options;
--- a/src/Control/PeerCodec.h
+++ b/src/Control/PeerCodec.h
@@ -10,13 +10,13 @@
 
 /// \brief Encodes messages as JSON-RPC notifications and decodes them.
 ///
-/// Field names on the wire have one or two letters and empty fields are omitted: with 890 routers the
-/// limit is 3 KB a second, and full names would take up a third of it.
+/// Field names on the wire have one or two letters and empty fields are omitted: with 890 routers
+/// the limit is 3 KB a second, and full names would take up a third of it.
 class PeerCodec
 {
 public:
-    /// Longest datagram. It is below the smallest MTU of tunnelled Ethernet, so that IP never fragments
-    /// it; one lost fragment would lose the whole datagram.
+    /// Longest datagram. It is below the smallest MTU of tunnelled Ethernet, so that IP never
+    /// fragments it; one lost fragment would lose the whole datagram.
     static constexpr std::size_t MaxDatagram = 1200;
 
     PeerCodec();
--- a/src/Control/PeerGuard.cpp
+++ b/src/Control/PeerGuard.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t MacBytes = 16;
 
 /// Maximum difference between the time in a datagram and the local clock. It allows for clock skew
-/// between VMs; no datagram travels for a minute. Together with the sequence window it bounds the state
-/// that is stored for processes that no longer exist.
+/// between VMs; no datagram travels for a minute. Together with the sequence window it bounds the
+/// state that is stored for processes that no longer exist.
 constexpr std::uint64_t MaxSkewSeconds = 60;
 
 /// Size of the replay window below the highest sequence number.
--- a/src/Control/PeerGuard.h
+++ b/src/Control/PeerGuard.h
@@ -18,8 +18,8 @@
 /// \returns the label of \a fault in metrics.
 std::string_view peerFaultName(PeerFault fault);
 
-/// \brief Signs datagrams between routers and refuses those that were not signed with a known key or
-/// are replays.
+/// \brief Signs datagrams between routers and refuses those that were not signed with a known key
+/// or are replays.
 ///
 /// Prevents that anyone who can reach the peer port marks routers as dead or sends them a
 /// configuration. A datagram is `KEYID.MAC.TEXT`. The MAC is HMAC-SHA-256 truncated to 128 bits, as
@@ -36,8 +36,8 @@
 
     explicit PeerGuard(Options options);
 
-    /// \brief Replaces the keys. To rotate a key without interruption, add the new one as second on all
-    /// routers, then make it the first on all routers, then remove the old one.
+    /// \brief Replaces the keys. To rotate a key without interruption, add the new one as second on
+    /// all routers, then make it the first on all routers, then remove the old one.
     void setKeys(std::vector<SharedKey> keys);
 
     /// \returns the datagram for \a message, with sequence and time filled in.
--- a/src/Control/PromptNews.cpp
+++ b/src/Control/PromptNews.cpp
@@ -10,12 +10,12 @@
 
 using namespace std::chrono_literals;
 
-/// Time after which a part that is in constant use is announced again. The receivers drop a part that
-/// was not used for a minute.
+/// Time after which a part that is in constant use is announced again. The receivers drop a part
+/// that was not used for a minute.
 constexpr Duration TellAgain = 15s;
 
-/// Maximum length of the queue. It is exceeded only at a hundred new prompts a second; further updates
-/// are then dropped.
+/// Maximum length of the queue. It is exceeded only at a hundred new prompts a second; further
+/// updates are then dropped.
 constexpr std::size_t MaxItems = 400;
 
 /// Maximum number of stored announcement times. Beyond it all are dropped, so that some parts are
--- a/src/Control/PromptNews.h
+++ b/src/Control/PromptNews.h
@@ -11,13 +11,13 @@
 
 namespace catkinloft {
 
-/// \brief Queue of the prompt parts that this router has sent to replicas, until they were announced to
-/// all routers.
+/// \brief Queue of the prompt parts that this router has sent to replicas, until they were
+/// announced to all routers.
 ///
-/// Handles fleets in which one heartbeat reaches only a part of the routers, for example 16 of 73. A
-/// router that does not know that a replica caches a prompt has another replica process it again.
-/// Therefore each update is sent with as many heartbeats as it takes to reach every router once. Parts
-/// that were announced recently are not announced again.
+/// Handles fleets in which one heartbeat reaches only a part of the routers, for example 16 of 73.
+/// A router that does not know that a replica caches a prompt has another replica process it again.
+/// Therefore each update is sent with as many heartbeats as it takes to reach every router once.
+/// Parts that were announced recently are not announced again.
 class PromptNews
 {
 public:
--- a/src/Control/RegisteredRouter.cpp
+++ b/src/Control/RegisteredRouter.cpp
@@ -18,7 +18,8 @@
 
 Result<RegisteredRouter> RegisteredRouter::decode(std::string_view name, std::string_view text)
 {
-    const Error malformed{.reason = Reason::MalformedRequest, .detail = "not a valid row of a router"};
+    const Error malformed{.reason = Reason::MalformedRequest,
+                          .detail = "not a valid row of a router"};
     const Result<Json::Value> root = parseJsonObject(text);
     if (!root)
         return malformed;
--- a/src/Control/RegisteredRouter.h
+++ b/src/Control/RegisteredRouter.h
@@ -7,8 +7,8 @@
 
 namespace catkinloft {
 
-/// \brief Row of a router in the table service. With it, other routers can reach the router and name
-/// it to callers before they have received a heartbeat of it.
+/// \brief Row of a router in the table service. With it, other routers can reach the router and
+/// name it to callers before they have received a heartbeat of it.
 struct RegisteredRouter
 {
     std::string name = {};
@@ -21,8 +21,8 @@
     /// \returns the value of the row; the name is part of its key.
     std::string encode() const;
 
-    /// \returns the router \a name whose row holds \a text; MalformedRequest if its addresses or its
-    /// processor share are missing or invalid.
+    /// \returns the router \a name whose row holds \a text; MalformedRequest if its addresses or
+    /// its processor share are missing or invalid.
     static Result<RegisteredRouter> decode(std::string_view name, std::string_view text);
 };
 
--- a/src/Control/RouterBeat.cpp
+++ b/src/Control/RouterBeat.cpp
@@ -101,8 +101,8 @@
 
 namespace {
 
-/// Compression dictionary: text that most heartbeats have in common, with the fields in the order in
-/// which they are written.
+/// Compression dictionary: text that most heartbeats have in common, with the fields in the order
+/// in which they are written.
 constexpr std::string_view BeatDictionary =
         R"("},"j":["i-"],"z":["],"g":["],"x":[["],"ed":["],"ev":,"f":true,"l":true,)"
         R"("r":false,"w":0.25,"w":0.5,"u":{"i-":[1,"}},"i":{"i-":2,"i-":1},"k":,"e":)"
--- a/src/Control/RouterBeat.h
+++ b/src/Control/RouterBeat.h
@@ -49,8 +49,8 @@
     std::vector<CrashNews> crashes = {}; ///< Requests during which replicas crashed.
 };
 
-/// \brief Encodes heartbeats as JSON-RPC notifications and decodes them. Field names on the wire have
-/// one or two letters: with several heartbeats a second, full names would double the bytes.
+/// \brief Encodes heartbeats as JSON-RPC notifications and decodes them. Field names on the wire
+/// have one or two letters: with several heartbeats a second, full names would double the bytes.
 class BeatCodec
 {
 public:
--- a/src/Control/RouterDirectory.cpp
+++ b/src/Control/RouterDirectory.cpp
@@ -106,9 +106,10 @@
     return &m_routers[m_usable[m_order.at(pool->second.groups[engine])]];
 }
 
-/// Returns the less loaded of two random routers. If it returned the least loaded of all, every caller
-/// who asks before the loads are updated would be given the same one. If a load is not known, as for
-/// most of 890 routers, the first draw is returned, which distributes callers evenly on average.
+/// Returns the less loaded of two random routers. If it returned the least loaded of all, every
+/// caller who asks before the loads are updated would be given the same one. If a load is not
+/// known, as for most of 890 routers, the first draw is returned, which distributes callers evenly
+/// on average.
 const RouterView &RouterDirectory::lessLoaded(const Query &query, const RandomSource &random) const
 {
     std::vector<std::size_t> near;
--- a/src/Control/RouterDirectory.h
+++ b/src/Control/RouterDirectory.h
@@ -17,10 +17,10 @@
 
 /// \brief Chooses the router that a caller should use.
 ///
-/// Handles 86,000 requests a second from callers who keep an answer for `rules.address_lifetime`, and
-/// 4.9 million chats. Saves the extra hop of a chat whose requests reach a router other than the owner
-/// of its engine, and prevents that callers without a chat overload a single router. An answer is a
-/// hint: a caller with a stale one is still served.
+/// Handles 86,000 requests a second from callers who keep an answer for `rules.address_lifetime`,
+/// and 4.9 million chats. Saves the extra hop of a chat whose requests reach a router other than
+/// the owner of its engine, and prevents that callers without a chat overload a single router. An
+/// answer is a hint: a caller with a stale one is still served.
 class RouterDirectory
 {
 public:
@@ -34,8 +34,8 @@
 
     explicit RouterDirectory(RouterView self);
 
-    /// \brief Sets the routers that are up. This router is always included; only its load is taken from
-    /// the list. A load below 0 means that it is not known.
+    /// \brief Sets the routers that are up. This router is always included; only its load is taken
+    /// from the list. A load below 0 means that it is not known.
     void setRouters(std::vector<RouterView> routers);
 
     /// \brief Sets the engines, which determine the routers of chats.
@@ -44,17 +44,17 @@
     /// \brief Marks this router as leaving, so that answers no longer name it.
     void setLeaving();
 
-    /// \brief Sets whether this router is isolated, that is, receives messages from neither the store
-    /// nor other routers. Answers do not name an isolated router if it knows another one.
+    /// \brief Sets whether this router is isolated, that is, receives messages from neither the
+    /// store nor other routers. Answers do not name an isolated router if it knows another one.
     void setIsolated(bool isolated);
     bool isIsolated() const { return m_isolated; }
 
     const std::vector<RouterView> &routers() const { return m_routers; }
     const RouterView &self() const { return m_self; }
 
-    /// \returns the router that owns the first engine of the chat, so that no extra hop is needed. For
-    /// a caller without a chat, the less loaded of two random routers, preferably of the caller's
-    /// failure domain. This router if no other can be named.
+    /// \returns the router that owns the first engine of the chat, so that no extra hop is needed.
+    /// For a caller without a chat, the less loaded of two random routers, preferably of the
+    /// caller's failure domain. This router if no other can be named.
     const RouterView &routerFor(const Query &query, const RandomSource &random) const;
 
     /// \brief Emitted when a router is added, removed or begins to leave, but not when only a load
--- a/src/Control/StoreReadPlan.h
+++ b/src/Control/StoreReadPlan.h
@@ -7,14 +7,14 @@
 
 /// \brief Decides when a router reads one thing from the store: the configuration, or the replicas.
 ///
-/// Handles hundreds of routers while the store is unavailable or refuses a third of them. Refused calls
-/// cost as much as others, and a router whose peers still send it what they read does not need calls of
-/// its own. Therefore the call rate of all routers together is bounded, and a router whose call failed
-/// calls again only while it reads for the others or what it has is too old.
+/// Handles hundreds of routers while the store is unavailable or refuses a third of them. Refused
+/// calls cost as much as others, and a router whose peers still send it what they read does not
+/// need calls of its own. Therefore the call rate of all routers together is bounded, and a router
+/// whose call failed calls again only while it reads for the others or what it has is too old.
 ///
-/// A router that starts during an outage knows no other router, as the key that authenticates routers
-/// is in the store too. It calls twice and then waits as long as a router of a large fleet. The first
-/// router that receives an answer makes the others retry early.
+/// A router that starts during an outage knows no other router, as the key that authenticates
+/// routers is in the store too. It calls twice and then waits as long as a router of a large fleet.
+/// The first router that receives an answer makes the others retry early.
 class StoreReadPlan
 {
 public:
@@ -52,14 +52,15 @@
     /// \brief Records that the call was refused or not answered.
     void failed();
 
-    /// \brief Records an answer without data, as nothing is stored yet. The next call is due after the
-    /// pause of a reader.
+    /// \brief Records an answer without data, as nothing is stored yet. The next call is due after
+    /// the pause of a reader.
     void foundNothing();
 
-    /// \brief Records that the store answered another router, or another call of this one, at \a at.
+    /// \brief Records that the store answered another router, or another call of this one, at \a
+    /// at.
     ///
-    /// If the last call failed before that, the next one is due early, but only once in each pause, as
-    /// a store may refuse some routers and answer others.
+    /// If the last call failed before that, the next one is due early, but only once in each pause,
+    /// as a store may refuse some routers and answer others.
     void answeredElsewhere(TimePoint at);
 
     /// \returns whether a call is in progress.
--- a/src/Control/WeightBudget.cpp
+++ b/src/Control/WeightBudget.cpp
@@ -49,8 +49,8 @@
 
 void WeightBudget::update()
 {
-    // Tries to take all slots, as the slot of a stopped holder is detected as free only after a whole
-    // lease without renewal. Once one slot is held, the others are released.
+    // Tries to take all slots, as the slot of a stopped holder is detected as free only after a
+    // whole lease without renewal. Once one slot is held, the others are released.
     const bool wanted = m_wanted || isPaused();
     bool found = false;
     for (const auto &it : m_slots) {
--- a/src/Control/internal/Age.h
+++ b/src/Control/internal/Age.h
@@ -10,8 +10,8 @@
 /// overflow a Duration.
 constexpr std::int64_t MaxAgeMs = std::int64_t(30) * 24 * 3600 * 1000;
 
-/// \returns the age of \a ms milliseconds that a peer reported; Duration::max(), which proves nothing,
-/// if the value is invalid.
+/// \returns the age of \a ms milliseconds that a peer reported; Duration::max(), which proves
+/// nothing, if the value is invalid.
 inline Duration ageFromMilliseconds(std::int64_t ms)
 {
     return ms < 0 || ms > MaxAgeMs ? Duration::max() : Duration(std::chrono::milliseconds(ms));
--- a/test/FleetRegistrationTest.cpp
+++ b/test/FleetRegistrationTest.cpp
@@ -41,10 +41,11 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_twoRouters_findEachOtherWithOneKey")
+TEST_CASE_FIXTURE(FleetRegistrationFixture,
+                  "fleetRegistration_twoRouters_findEachOtherAndShareOneKey")
 {
     a.registration.refresh();
-    bb.registration.refresh(); // Both find no key and try to create one.
+    bb.registration.refresh(); // Both find no key and try to create it.
     table.endAll();
     refresh(a);
     CHECK(a.registration.isComplete());
@@ -58,7 +59,7 @@
     CHECK(a.others.front().processorShare == 0.12);
 }
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_storeRefuses_isTriedAgain")
+TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_storeRefuses_isRetried")
 {
     a.registration.refresh();
     table.end(0, FakeTable::Fate::Refused);
@@ -68,7 +69,7 @@
 }
 
 TEST_CASE_FIXTURE(FleetRegistrationFixture,
-                  "fleetRegistration_answerOfTheKeyLost_endsWithTheStoredKey")
+                  "fleetRegistration_answerToKeyCreationLost_usesTheStoredKey")
 {
     a.registration.refresh();
     table.end(0, FakeTable::Fate::Answered);
@@ -79,7 +80,7 @@
     CHECK(a.key == bb.key);
 }
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_routerLeaves_isListedNoMore")
+TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_routerLeaves_isNoLongerListed")
 {
     refresh(a);
     refresh(bb);
@@ -89,7 +90,7 @@
     CHECK(a.others.empty());
 }
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_routerStartsAgain_oneCallIsEnough")
+TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_routerRestarts_makesOneCall")
 {
     refresh(a);
     refresh(bb);
@@ -105,7 +106,7 @@
     CHECK(again.others.size() == 1);
 }
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_ownRowLost_isWrittenAgain")
+TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_ownRowLost_isRestored")
 {
     refresh(a);
     table.rows.erase("fleet/router/a");
@@ -117,7 +118,7 @@
     CHECK_FALSE(table.rows.contains("fleet/router/a"));
 }
 
-TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_rowsOfOthersMalformed_namesTheRest")
+TEST_CASE_FIXTURE(FleetRegistrationFixture, "fleetRegistration_malformedRowsOfOthers_areSkipped")
 {
     refresh(a);
     refresh(bb);
--- a/test/FleetViewTest.cpp
+++ b/test/FleetViewTest.cpp
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_beatsOutOfOrder_theNewestCounts")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_heartbeatsOutOfOrder_onlyNewerOnesAreAccepted")
 {
     CHECK(view.receive(beat("a", 3)));
     RouterBeat late = beat("a", 2);
@@ -85,7 +85,8 @@
     CHECK_FALSE(view.receive(beat("me", 9)));
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_silentRouter_isNotNamedButStillShares")
+TEST_CASE_FIXTURE(FleetViewFixture,
+                  "fleetView_routerWithoutHeartbeats_isNotLiveButStillSharesLimits")
 {
     view.receive(beat("a"));
     CHECK(view.sharers() == 2);
@@ -94,7 +95,8 @@
     CHECK(view.sharers() == 2);
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_registeredRouters_shareBeforeTheyAreHeard")
+TEST_CASE_FIXTURE(FleetViewFixture,
+                  "fleetView_registeredRouters_shareLimitsBeforeTheirFirstHeartbeat")
 {
     setRegistered({"a", "b"});
     CHECK(view.sharers() == 3);
@@ -113,7 +115,7 @@
     CHECK(view.nextTargets(9).size() == 3);
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_routersThatStartTogether_beginWithDifferentTargets")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_routersStartedTogether_beginWithDifferentTargets")
 {
     std::vector<std::string> names(100);
     for (std::size_t i = 0; i < names.size(); ++i)
@@ -126,10 +128,11 @@
             ++beats[it];
     }
     for (const auto &[address, n] : beats)
-        CHECK(n < 60); // 26 in the mean, 100 where all begin alike.
+        CHECK(n < 60); // The mean is 26; it is 100 if all begin with the same targets.
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_addressNeitherRegisteredNorHeard_isForgotten")
+TEST_CASE_FIXTURE(FleetViewFixture,
+                  "fleetView_addressNeitherRegisteredNorKnownByHeartbeat_isRemoved")
 {
     setRegistered({"a", "b"});
     view.receive(beat("b"));
@@ -137,7 +140,7 @@
     CHECK(view.nextTargets(9) == std::vector<std::string>{"b:2"});
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_freshest_hasTheNewestRevisionAndTheYoungestProof")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_freshest_hasNewestRevisionAndYoungestProof")
 {
     CHECK(view.freshest(1s) == nullptr);
     view.receive(beat("a"));
@@ -153,7 +156,7 @@
     CHECK(view.freshest(500ms)->beat.name == "b");
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readers_areTheStrongestThatReachTheStore")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readers_areTheLargestVmsThatReachTheStore")
 {
     FleetView::Reader self{.name = "me"};
     CHECK(view.readers(self) == std::vector<std::string>{"me"});
@@ -164,11 +167,11 @@
     view.receive(strong);
     RouterBeat cutOff = beat("cut");
     cutOff.processorShare = 8;
-    cutOff.storeFailing = true; // Its proof is fresh all the same: other routers renew it.
+    cutOff.storeFailing = true; // Its proof is still fresh, as other routers renew it.
     view.receive(cutOff);
     RouterBeat silent = beat("silent");
     silent.processorShare = 8;
-    silent.storeSilence = 1400ms; // It waits for an answer, which does not come.
+    silent.storeSilence = 1400ms; // It waits for an answer that does not arrive.
     view.receive(silent);
     const std::vector<std::string> readers = view.readers(self);
     CHECK(readers.size() == FleetView::ReaderCount);
@@ -180,7 +183,7 @@
     CHECK(std::find(others.begin(), others.end(), "me") == others.end());
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_largeFleetHeardInTurn_allChooseTheSameReaders")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_largeFleetDuringItsStart_allChooseTheSameReaders")
 {
     constexpr int Routers = 295;
     constexpr double StrongShare = 0.5;
@@ -203,8 +206,8 @@
         return views[i].readers({.name = rows[i].name, .processorShare = shareOf(i)});
     };
     for (int round = 0; round < 36; ++round) {
-        // Before the first beat, while they come, and long after the start; not all routers each
-        // time, so that the test stays short.
+        // Checks before the first heartbeat, while they arrive, and long after the start. Only a
+        // part of the routers is checked in each round to keep the test short.
         const std::vector<std::string> first = readersOf(0);
         for (int i = 1 + round % 16; i < Routers; i += 16)
             CHECK(readersOf(i) == first);
@@ -219,7 +222,7 @@
     CHECK(views[0].beatsInRound() == 12);
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readerDoesNotAnswer_theNextOneReadsUntilItIsHeard")
+TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readerDoesNotAnswer_nextOneReadsUntilItsHeartbeat")
 {
     view.setRegistered(std::vector<RegisteredRouter>{row("gone", 8), row("a", 4), row("b", 2)});
     const FleetView::Reader self{.name = "me"};
@@ -233,11 +236,12 @@
     RouterBeat back = beat("gone");
     back.processorShare = 8;
     view.receive(back);
-    view.noteUnanswered("gone", asked); // It was heard since.
+    view.noteUnanswered("gone", asked); // Its heartbeat was received since.
     CHECK(view.readers(self) == std::vector<std::string>{"gone", "a"});
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_unheardRouters_areNamedInTheFirstRoundsOnly")
+TEST_CASE_FIXTURE(FleetViewFixture,
+                  "fleetView_routersWithoutHeartbeat_areNamedOnlyInTheFirstRounds")
 {
     setRegistered({"a", "b"});
     CHECK(view.unheard().size() == 2);
@@ -250,7 +254,8 @@
     CHECK(view.readers({.name = "me"}) == std::vector<std::string>{"me"});
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_unequalVms_areNamedInProportion")
+TEST_CASE_FIXTURE(FleetViewFixture,
+                  "entryDirectory_unequalVms_areNamedInProportionToTheirProcessors")
 {
     settings.processorShare = 0.5;
     for (int i = 0; i < 20; ++i) {
@@ -270,7 +275,7 @@
     CHECK(directory.addresses(4).size() <= 4);
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_unreadyAndLeavingRouters_areNotNamed")
+TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_routersNotReadyOrLeaving_areNotNamed")
 {
     RouterBeat unready = beat("b");
     unready.ready = false;
@@ -284,7 +289,7 @@
     CHECK(named() == "a:1 ");
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_nobodyReady_namesThoseThatRun")
+TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_noRouterReady_namesRunningRouters")
 {
     ready = false;
     RouterBeat unready = beat("b");
@@ -296,7 +301,7 @@
     CHECK(named().empty());
 }
 
-TEST_CASE_FIXTURE(FleetViewFixture, "beatCodec_allFields_areReadBackAndRubbishIsRefused")
+TEST_CASE_FIXTURE(FleetViewFixture, "heartbeatCodec_allFields_areDecodedAndMalformedTextIsRefused")
 {
     RouterBeat it = beat("a", 77);
     it.failureDomain = "hall";
@@ -316,7 +321,7 @@
     CHECK(read.value().name == "a");
     CHECK(read.value().sequence == 77);
     CHECK(read.value().leaving);
-    CHECK(read.value().proofAge == 2ms); // Rounded up: a proof never looks younger.
+    CHECK(read.value().proofAge == 2ms); // Rounded up, so that a proof never appears younger.
     CHECK(read.value().replicasAge == Duration::max());
     CHECK(read.value().replicas.counts.at("i-1") == 3);
     CHECK(read.value().replicas.ejected == std::vector<std::string>{"i-2"});
@@ -336,7 +341,7 @@
     CHECK_FALSE(codec.decode(R"({"jsonrpc":"2.0","method":"b","params":{"n":[1]}})"));
 }
 
-TEST_CASE("fleetView_keepersOfASubject_areTheSameOnAllRouters")
+TEST_CASE("fleetView_holdersOfASubject_areTheSameOnAllRouters")
 {
     ManualClock clock;
     std::vector<RegisteredRouter> all;
@@ -357,7 +362,7 @@
     CHECK(alone.keepersOf("subject", 8).empty());
 }
 
-TEST_CASE("beatCodec_ageThatCannotBeOne_provesNothing")
+TEST_CASE("heartbeatCodec_invalidAge_provesNothing")
 {
     RouterBeat it{.name = "a", .proofAge = 5ms, .replicasAge = 6ms};
     const std::string text = BeatCodec::encode(it);
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -38,21 +38,21 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(NineRoutersFixture, "membership_oneSeed_bringsAllTogether")
+TEST_CASE_FIXTURE(NineRoutersFixture, "membership_oneSeed_connectsAllRouters")
 {
     for (std::size_t i = 1; i < group.size(); ++i)
         group.node(i).membership->addSeed(group.node(0).address);
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 20s));
 }
 
-TEST_CASE_FIXTURE(NineRoutersFixture, "membership_listOfVmsOnOneRouterOnly_bringsAllTogether")
+TEST_CASE_FIXTURE(NineRoutersFixture, "membership_vmListOnOneRouterOnly_connectsAllRouters")
 {
     group.node(3).membership->setVms(group.vms());
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 20s));
 }
 
 TEST_CASE_FIXTURE(IntroducedRoutersFixture,
-                  "membership_listNamesTheDeadAndLacksTheLiving_isNotBelieved")
+                  "membership_vmListNamesDeadAndLacksLiveRouters_doesNotChangeTheView")
 {
     group.stop(4);
     REQUIRE(group.runUntil([&] { return group.allBelieve("router-4", MemberState::Dead); }, 20s));
@@ -64,7 +64,8 @@
     CHECK(everyoneKnows(8));
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_killedRouter_isDeadEverywhereWithinSeconds")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture,
+                  "membership_killedRouter_isDeadEverywhereWithinEightSeconds")
 {
     group.stop(2);
     CHECK(group.runUntil([&] { return group.allBelieve("router-2", MemberState::Dead); }, 8s));
@@ -78,8 +79,9 @@
     CHECK(group.runUntil([&] { return group.allBelieve("router-5", MemberState::Leaving); }, 1s));
 }
 
-// Guards against a router that never hears that another leaves: news of it is passed on a bounded
-// number of times to members drawn at random, in a fleet that has just seen a death and a return.
+// Guards against a router that never learns that another one leaves. The update is disseminated
+// only a bounded number of times to random members, and the fleet has just disseminated a death and
+// a return.
 TEST_CASE("membership_leavingAfterADeathAndAReturn_isKnownEverywhereInEveryFleet")
 {
     constexpr std::uint64_t Fleets = 1000;
@@ -109,7 +111,7 @@
     CHECK(late.empty());
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_pausedRouter_isAliveAgainAfterItsReturn")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_pausedRouter_isAliveAgainAfterItResumes")
 {
     group.stop(2);
     group.run(15s);
@@ -139,7 +141,7 @@
     CHECK(group.runUntil(everyoneKnowsTheNewOne, 10s));
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_partitionHealed_bringsBothSidesTogether")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_partitionHealed_reconnectsBothSides")
 {
     group.block([](std::size_t a, std::size_t b) { return (a < 4) != (b < 4); });
     group.run(20s);
@@ -151,7 +153,7 @@
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 30s));
 }
 
-TEST_CASE("membership_anHourAtOnePercentLoss_declaresNobodyDead")
+TEST_CASE("membership_anHourAtOnePercentLoss_declaresNoMemberDead")
 {
     PeerGroup group({.size = 9, .seed = 11, .loss = 0.01});
     group.introduceAll();
@@ -164,7 +166,7 @@
     CHECK(deaths == 0);
 }
 
-TEST_CASE("overrides_newsInAnyOrder_isTotalOrder")
+TEST_CASE("overrides_anyTwoUpdates_isATotalOrder")
 {
     CHECK(overrides(news(MemberState::Suspect, 1), news(MemberState::Alive, 1)));
     CHECK(overrides(news(MemberState::Dead, 1), news(MemberState::Leaving, 1)));
@@ -173,7 +175,7 @@
     CHECK_FALSE(overrides(news(MemberState::Dead, 1), news(MemberState::Alive, 2)));
 }
 
-TEST_CASE("newsQueue_moreNewsThanRoom_sendsEachABoundedNumberOfTimes")
+TEST_CASE("memberUpdateQueue_moreUpdatesThanFit_sendsEachABoundedNumberOfTimes")
 {
     NewsQueue queue;
     for (int i = 0; i < 10; ++i)
@@ -189,7 +191,7 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("governor_burst_holdsTheMeanUnderTheLimit")
+TEST_CASE("trafficGovernor_burst_keepsTheMeanBelowTheLimit")
 {
     ManualClock clock;
     TrafficGovernor governor({.clock = clock, .bytesPerSecond = 1000, .burst = 10s});
@@ -202,7 +204,7 @@
     CHECK(governor.total() >= 990 * 1000);
 }
 
-TEST_CASE("member_loadNeverHeard_isNotFresh")
+TEST_CASE("member_loadNeverReceived_isNotFresh")
 {
     const ManualClock clock;
     Member it;
--- a/test/OwnerAgreementTest.cpp
+++ b/test/OwnerAgreementTest.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// The same routers and engines, seen by the answer which router to use and by each router's
-/// placement.
+/// The same routers and engines for the directory, which names a router to callers, and for the
+/// placement of each router.
 struct RoutersAndEnginesFixture
 {
     void build(int routerCount, int engineCount)
@@ -34,7 +34,8 @@
                                .callerAddress = fmt::format("10.1.0.{}:80", i)});
     }
 
-    /// Where router \a self sends a first request of chat \a key.
+    /// \returns the router that router \a self relays the first request of chat \a key to; nothing
+    /// if it places the request itself.
     std::optional<std::string> relayedTo(const std::string &self, std::uint64_t key)
     {
         Dispatcher pool({.clock = clock, .random = seededRandom(1), .self = self});
@@ -60,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RoutersAndEnginesFixture, "addressAnswer_everyChat_namesTheRouterThatPlaces")
+TEST_CASE_FIXTURE(RoutersAndEnginesFixture, "routerDirectory_everyChat_namesTheRouterThatPlacesIt")
 {
     for (const int engines : {9, 40, 200}) {
         routers.clear();
--- a/test/PeerCatchUpTest.cpp
+++ b/test/PeerCatchUpTest.cpp
@@ -18,14 +18,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_routerThatHasStarted_asksWhichPromptsAreKept")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_routerJustStarted_asksForCachedPrompts")
 {
     CHECK(catchUp.isWorthAsking(beat, own));
     catchUp.promptsTold(true);
     CHECK_FALSE(catchUp.isWorthAsking(beat, own));
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peersKnowNoPrompts_asksAreBounded")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peersKnowNoPrompts_asksABoundedNumberOfTimes")
 {
     int asks = 0;
     while (asks < 100 && catchUp.isWorthAsking(beat, own)) {
@@ -49,7 +49,7 @@
     CHECK(catchUp.isWorthAsking(newer, own));
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_ownProofOld_onlyFreshPeersAreAsked")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_ownProofOld_asksOnlyPeersWithAFreshProof")
 {
     catchUp.promptsTold(true);
     own.proofAge = 2600ms;
@@ -59,7 +59,7 @@
     CHECK(catchUp.maxPeerProofAge() == 2s);
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigLimit_proofsMayBeOlder")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigApplyLimit_allowsOlderProofs")
 {
     PeerCatchUp patient({.configLimit = 4s});
     patient.promptsTold(true);
--- a/test/PeerGuardTest.cpp
+++ b/test/PeerGuardTest.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_everyField_survivesTheWire")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_everyField_isPreserved")
 {
     PeerMessage it{.kind = PeerMessageKind::ConfigDelta,
                    .from = "a",
@@ -61,7 +61,7 @@
     CHECK(out.message.delta[0].inserted == it.delta[0].inserted);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_anyChangedByte_isRefused")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_anyChangedByte_isRefused")
 {
     const std::string good = sealed();
     for (std::size_t i = 0; i < good.size(); ++i) {
@@ -73,14 +73,14 @@
     CHECK(b.open(good).fault == PeerFault::None);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_sameDatagramTwice_isRefusedAsReplay")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_sameDatagramTwice_isRefusedAsReplay")
 {
     const std::string it = sealed();
     CHECK(b.open(it).fault == PeerFault::None);
     CHECK(b.open(it).fault == PeerFault::Replayed);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_overtakenDatagram_isTakenOnce")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_reorderedDatagram_isAcceptedOnce")
 {
     const std::string first = sealed();
     const std::string second = sealed();
@@ -89,14 +89,15 @@
     CHECK(b.open(first).fault == PeerFault::Replayed);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_oldDatagramAfterAWhile_isRefusedByARouterThatNeverSawIt")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_oldDatagram_isRefusedByARouterThatNeverReceivedIt")
 {
     const std::string it = sealed();
     clock.advance(2min);
     CHECK(b.open(it).fault == PeerFault::Replayed);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_datagramOfTheProcessBefore_isRefusedAfterTheRestart")
+TEST_CASE_FIXTURE(TwoGuardsFixture,
+                  "peerGuard_datagramOfThePreviousProcess_isRefusedAfterTheRestart")
 {
     const std::string old = sealed();
     PeerGuard restarted({.clock = clock, .self = "a", .keys = {Old}});
@@ -105,12 +106,12 @@
     CHECK(b.open(old).fault == PeerFault::Replayed);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_datagramForAnother_isRefused")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_datagramForAnotherRouter_isRefused")
 {
     CHECK(b.open(sealed("c")).fault == PeerFault::Misdirected);
 }
 
-TEST_CASE_FIXTURE(TwoGuardsFixture, "guard_keysRotatedStepByStep_neverRefuseEachOther")
+TEST_CASE_FIXTURE(TwoGuardsFixture, "peerGuard_keysRotatedStepByStep_routersAlwaysAcceptEachOther")
 {
     const std::vector<std::vector<SharedKey>> steps = {{Old}, {Old, Fresh}, {Fresh, Old}, {Fresh}};
     for (std::size_t i = 0; i + 1 < steps.size(); ++i) {
@@ -124,7 +125,7 @@
     CHECK(b.open(sealed()).fault == PeerFault::Forged);
 }
 
-TEST_CASE("codec_rubbish_isRefused")
+TEST_CASE("peerCodec_malformedText_isRefused")
 {
     PeerCodec codec;
     for (const char *it :
--- a/test/PeerStateTest.cpp
+++ b/test/PeerStateTest.cpp
@@ -37,14 +37,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PeerStateFixture, "peerState_allFields_areReadBack")
+TEST_CASE_FIXTURE(PeerStateFixture, "peerState_allFields_areDecoded")
 {
     state.config = PeerState::Packed::of("config\nin lines");
     state.replicas = PeerState::Packed::of("replicas");
     const Result<PeerState> read = PeerState::decode(state.encode());
     REQUIRE(read);
     CHECK(read.value().revision == 9);
-    CHECK(read.value().proofAge == 2ms); // Rounded up: a proof never looks younger.
+    CHECK(read.value().proofAge == 2ms); // Rounded up, so that a proof never appears younger.
     CHECK(read.value().replicasAge == 40ms);
     CHECK(read.value().replicasHash == 1ULL << 63);
     CHECK(read.value().replicasVersion == 12);
@@ -53,7 +53,7 @@
     CHECK(read.value().replicas->text().value() == "replicas");
 }
 
-TEST_CASE_FIXTURE(PeerStateFixture, "peerState_routerThatKnowsNothing_saysSo")
+TEST_CASE_FIXTURE(PeerStateFixture, "peerState_empty_isDecodedAsEmpty")
 {
     const Result<PeerState> read = PeerState::decode(PeerState{}.encode());
     REQUIRE(read);
@@ -66,8 +66,9 @@
 
 TEST_CASE_FIXTURE(PeerStateFixture, "peerState_largeConfiguration_isSmallOnTheWire")
 {
-    // The users' largest configuration. A VM with a link of 10 Mbit/s gets it within a tenth of a
-    // second then, also while it relays streams; as a plain text it took half a second.
+    // The largest configuration of the users. Over a link of 10 Mbit/s, the compressed text arrives
+    // within a tenth of a second, even while the VM relays streams; the plain text takes half a
+    // second.
     const std::string text = configText(1450);
     REQUIRE(text.size() > 400'000);
     state.config = PeerState::Packed::of(text);
@@ -75,7 +76,7 @@
     CHECK(PeerState::decode(state.encode()).value().config->text().value() == text);
 }
 
-TEST_CASE_FIXTURE(PeerStateFixture, "peerState_rubbish_isRefused")
+TEST_CASE_FIXTURE(PeerStateFixture, "peerState_malformedText_isRefused")
 {
     state.config = PeerState::Packed::of(configText(20));
     const std::string whole = state.encode();
@@ -86,7 +87,7 @@
     CHECK_FALSE(PeerState::Packed{.bytes = "rubbish"}.text());
 }
 
-TEST_CASE_FIXTURE(PeerStateFixture, "peerState_evacuatedDomains_areToldWithTheirVersion")
+TEST_CASE_FIXTURE(PeerStateFixture, "peerState_evacuatedDomains_areDecodedWithTheirVersion")
 {
     state.evacuated = {.storeVersion = 40, .domains = {"d1", "d2"}};
     const Result<PeerState> read = PeerState::decode(state.encode());
@@ -95,9 +96,9 @@
     CHECK(read.value().evacuated.domains == std::set<std::string>{"d1", "d2"});
 }
 
-// Guards against the whole text for each of hundreds of routers at each small change.
+// Guards against sending the full text to each of hundreds of routers at each small change.
 TEST_CASE_FIXTURE(PeerStateFixture,
-                  "configTexts_oneRouteOfManyChanged_aRouterThatHadItGetsTheChange")
+                  "configTexts_oneRouteOfManyChanged_routerWithThePreviousTextReceivesADelta")
 {
     const std::string before = configText(1450);
     std::string after = before;
@@ -114,7 +115,7 @@
     CHECK_FALSE(ConfigTexts::textIn(read.value(), "{}"));
 }
 
-TEST_CASE_FIXTURE(PeerStateFixture, "configTexts_routerWithAnUnknownRevision_getsTheWhole")
+TEST_CASE_FIXTURE(PeerStateFixture, "configTexts_routerWithAnUnknownRevision_receivesTheFullText")
 {
     ConfigTexts texts;
     texts.describe(0, state);
@@ -129,7 +130,7 @@
     CHECK_FALSE(newest.config);
 }
 
-TEST_CASE("configTexts_manyLargeTexts_keepABoundedAmount")
+TEST_CASE("configTexts_manyLargeTexts_storesABoundedAmount")
 {
     ConfigTexts texts;
     for (std::uint64_t revision = 1; revision <= 40; ++revision)
--- a/test/PromptNewsTest.cpp
+++ b/test/PromptNewsTest.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PromptNewsFixture, "promptNews_fleetNeedsSeveralBeats_ridesOnAllOfThem")
+TEST_CASE_FIXTURE(PromptNewsFixture,
+                  "promptUpdates_fleetNeedsSeveralHeartbeats_allOfThemContainThePart")
 {
     news.note("i-1", prompt);
     for (int i = 0; i < 5; ++i)
@@ -27,7 +28,7 @@
     CHECK(news.take(5, 40).empty());
 }
 
-TEST_CASE_FIXTURE(PromptNewsFixture, "promptNews_usedAgainSoon_isNotToldAgain")
+TEST_CASE_FIXTURE(PromptNewsFixture, "promptUpdates_usedAgainSoon_isNotAnnouncedAgain")
 {
     news.note("i-1", prompt);
     news.take(1, 40);
@@ -41,7 +42,7 @@
     CHECK(news.take(1, 40).contains("i-1"));
 }
 
-TEST_CASE_FIXTURE(PromptNewsFixture, "promptNews_moreThanABeatHolds_waitsForTheNext")
+TEST_CASE_FIXTURE(PromptNewsFixture, "promptUpdates_moreThanAHeartbeatHolds_waitForTheNext")
 {
     for (std::uint64_t i = 0; i < 50; ++i)
         news.note("i-1", std::array{PromptPart{100 + i, 10}});
--- a/test/PromptSurveyTest.cpp
+++ b/test/PromptSurveyTest.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Routers that start together before engines that kept their prompts; a list reaches every router
-/// that lives as soon as it is asked for.
+/// Routers that start together while engines have prompts cached. A list reaches every running
+/// router as soon as it is requested.
 struct PromptSurveyFixture
 {
     explicit PromptSurveyFixture(int n = 9, int engineCount = 40)
@@ -26,7 +26,7 @@
             engines.push_back({.id = fmt::format("i-{}", i), .service = "llm"});
     }
 
-    /// Starts the routers but the first \a dead, which are still registered.
+    /// Starts all routers except the first \a dead, which are still registered.
     void start(std::size_t dead = 0)
     {
         for (std::size_t i = dead; i < registered.size(); ++i) {
@@ -49,10 +49,10 @@
         return out;
     }
 
-    /// Lets each router look once.
+    /// Polls each router once.
     void poll()
     {
-        std::vector<std::pair<std::string, std::string>> told; // Engine and address of a router.
+        std::vector<std::pair<std::string, std::string>> told; // Engine and address of the router.
         for (const auto &it : routers) {
             for (const ReplicaRecord &engine : it->due(engines)) {
                 ++lists[engine.id];
@@ -86,7 +86,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_allRoutersStart_eachEngineIsAskedOnceAtOnce")
+TEST_CASE_FIXTURE(PromptSurveyFixture,
+                  "promptDiscovery_allRoutersStart_eachEngineIsAskedOnceImmediately")
 {
     start();
     poll();
@@ -99,7 +100,7 @@
     CHECK(routers.front()->isOver());
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_routersGoneForGood_nextOnesAskForThem")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_routersGoneForGood_nextOnesAskInstead")
 {
     start(3);
     poll();
@@ -108,12 +109,12 @@
         clock.advance(50ms);
         poll();
     }
-    // Of forty engines the first three of the order of one or two are all gone.
+    // For one or two of the forty engines, the first three routers of the order are all gone.
     CHECK(lists.size() >= engines.size() - 3);
     CHECK(listCount() == static_cast<int>(lists.size()));
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_oneRouterReplaced_asksForItsShareOnly")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_oneRouterReplaced_asksOnlyItsShare")
 {
     start(8);
     routers.front()->peerKnows();
@@ -124,7 +125,7 @@
     CHECK(listCount() < 12);
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_routersNotYetListed_asksNobody")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_otherRoutersNotKnown_asksNoEngine")
 {
     PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
     for (int i = 0; i < 40; ++i) {
@@ -138,17 +139,19 @@
     CHECK(survey.due(engines).empty());
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_onlyRouter_asksAllEngines")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_onlyRouter_asksAllEngines")
 {
     PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
     survey.setRouters({});
     CHECK(survey.due(engines).size() == engines.size());
 }
 
-TEST_CASE("promptSurvey_hundredsOfRoutersHearTheirListAtDifferentTimes_engineIsAskedAFewTimes")
+TEST_CASE("promptDiscovery_hundredsOfRoutersKnowTheOthersAtDifferentTimes_"
+          "enginesAreAskedAtMostTwiceOnAverage")
 {
     PromptSurveyFixture it(295, 60);
-    // The store answers one after the other, for longer than the rounds of those that begin first.
+    // The store answers the routers one after the other, for longer than all rounds of the first
+    // ones.
     for (std::size_t i = 0; i < it.registered.size(); ++i)
         it.add(i);
     for (std::size_t i = 0; i < it.registered.size(); ++i) {
@@ -166,7 +169,7 @@
     CHECK(it.listCount() <= 2 * static_cast<int>(it.engines.size()));
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_manyEngines_theLargestPartsAreTold")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_manyEngines_announcesTheLargestParts")
 {
     const PromptSurvey survey({.clock = clock, .self = "a:2", .maxTold = 100});
     const std::vector<PromptPart> kept{{1, 10}, {2, 800}, {3, 30}, {4, 900}};
@@ -174,7 +177,7 @@
     CHECK(survey.toTell(kept, 2) == std::vector<std::uint64_t>{4, 2, 3, 1});
 }
 
-TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_noEngines_neverBegins")
+TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_noEngines_neverStarts")
 {
     PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
     survey.setRouters(others(0));
--- a/test/RouterBeatTest.cpp
+++ b/test/RouterBeatTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A beat as a router of a large fleet sends it.
+/// \returns a typical heartbeat of a router in a large fleet.
 RouterBeat usualBeat()
 {
     RouterBeat out{.name = "front-kremikovtsi-hall-12",
@@ -32,8 +32,8 @@
 
 } // namespace
 
-// Guards against a fleet whose own traffic grows past that of its callers.
-TEST_CASE("beatCodec_usualBeat_isPackedToLessThanHalf")
+// Guards against heartbeats that take more bandwidth than the requests of callers in a large fleet.
+TEST_CASE("heartbeatCodec_usualHeartbeat_isPackedToLessThanHalf")
 {
     const RouterBeat beat = usualBeat();
     const std::string packed = BeatCodec::pack(beat);
@@ -44,7 +44,7 @@
     CHECK(BeatCodec::encode(read.value()) == BeatCodec::encode(beat));
 }
 
-TEST_CASE("beatCodec_rubbish_isNoBeat")
+TEST_CASE("heartbeatCodec_malformedBytes_areRefused")
 {
     BeatCodec codec;
     const std::string packed = BeatCodec::pack(usualBeat());
--- a/test/RouterDirectoryTest.cpp
+++ b/test/RouterDirectoryTest.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_knownChat_isSentWhereTheDispatcherNeedsNoHop")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_knownChat_isSentToTheOwnerOfItsEngine")
 {
     ManualClock clock;
     for (const std::uint64_t chat : {11U, 12U, 13U, 14U, 15U, 16U, 17U, 18U}) {
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_leavingRouter_isNamedToNobody")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_leavingRouter_isNotNamed")
 {
     routers[2].leaving = true;
     directory.setRouters(routers);
@@ -93,7 +93,7 @@
     CHECK_FALSE(askMany({}).contains("router-0"));
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_isolatedRouter_namesOthersIfItKnowsAny")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_isolatedRouter_namesOthersIfItKnowsAny")
 {
     directory.setIsolated(true);
     CHECK_FALSE(askMany({}).contains("router-0"));
@@ -101,13 +101,13 @@
     CHECK(ask({}) == "router-0");
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_callersWithoutChat_spreadEvenly")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_callersWithoutChat_areDistributedEvenly")
 {
     for (const auto &[name, n] : askMany({}))
         CHECK(std::abs(n - 1000) < 150);
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_heavilyLoadedRouter_isNamedLessOften")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_heavilyLoadedRouter_isNamedLessOften")
 {
     for (RouterView &it : routers)
         it.load = it.name == "router-3" ? 100 : 10;
@@ -115,7 +115,7 @@
     CHECK(askMany({})["router-3"] < 300);
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_callersOwnFailureDomain_isPreferred")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_callersOwnFailureDomain_isPreferred")
 {
     const auto named = askMany({.failureDomain = "domain-1"});
     CHECK(named.size() == 2);
@@ -124,7 +124,7 @@
     CHECK(askMany({.failureDomain = "unknown"}).size() == 6);
 }
 
-TEST_CASE_FIXTURE(SixRoutersFixture, "directory_onlyLoadsChanged_emitsNothing")
+TEST_CASE_FIXTURE(SixRoutersFixture, "routerDirectory_onlyLoadsChanged_emitsNothing")
 {
     int changes = 0;
     directory.changed().connect([&] { ++changes; });
--- a/test/StoreReadPlanTest.cpp
+++ b/test/StoreReadPlanTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The plans of a fleet's routers for one thing that they read.
+/// The plans of the routers of a fleet for reading the same data.
 struct StoreReadPlanFixture
 {
     void addRouters(int n)
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Lets every router look each 200 ms while the store refuses all calls.
-    /// \returns how many calls were made.
+    /// Polls every router each 200 ms while the store refuses all calls.
+    /// \returns the number of calls.
     int refuseFor(Duration length, bool reader, bool overdue)
     {
         return refuseFor(length, state(reader, overdue));
@@ -57,17 +57,20 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_hundredsOfRoutersStoreAway_callsAreBounded")
+TEST_CASE_FIXTURE(StoreReadPlanFixture,
+                  "storeReadPlan_hundredsOfRoutersStoreUnavailable_callsAreBounded")
 {
     addRouters(295);
     const int calls = refuseFor(8s, false, true);
-    CHECK(calls >= 295); // Each has tried.
+    CHECK(calls >= 295); // Each router has called.
     CHECK(calls <= 295 + static_cast<int>(8s / 15ms) * 5 / 4);
 }
 
-// Guards against a herd of calls from routers that start while the store is away: the key that they
-// need to hear each other is in the store, so that each takes itself for the only one.
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_hundredsStartKnowingNobody_callsAreBounded")
+// Guards against a thundering herd of routers that start while the store is unavailable. The key
+// that they need to verify each other's messages is in the store, so each assumes that it is the
+// only one.
+TEST_CASE_FIXTURE(StoreReadPlanFixture,
+                  "storeReadPlan_hundredsStartWithoutKnownRouters_callsAreBounded")
 {
     addRouters(295);
     const int calls = refuseFor(8s, {.reader = false, .overdue = true, .routers = 1});
@@ -75,10 +78,10 @@
     CHECK(calls <= 295 + static_cast<int>(8s / 15ms) * 5 / 4);
 }
 
-// Guards against a small fleet that waits as a large one does: whoever is answered wakes the
-// others.
+// Guards against a small fleet that waits as long as a large one: the first router that receives an
+// answer makes the others retry early.
 TEST_CASE_FIXTURE(StoreReadPlanFixture,
-                  "storeReadPlan_nineStartKnowingNobody_allAreBackInTwoSeconds")
+                  "storeReadPlan_nineStartWithoutKnownRouters_allReadWithinTwoSeconds")
 {
     addRouters(9);
     const StoreReadPlan::State state{.reader = false, .overdue = true, .routers = 1};
@@ -99,8 +102,8 @@
     CHECK(std::count(served.begin(), served.end(), true) == 9);
 }
 
-// Guards against a router that the store refuses and that calls whenever another one is answered.
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_othersAreAnswered_callsStayBounded")
+// Guards against a router that the store refuses and that retries whenever another one is answered.
+TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_otherRoutersAreAnswered_callsStayBounded")
 {
     addRouters(295);
     int calls = 0;
@@ -112,7 +115,8 @@
     CHECK(calls <= 295 + 2 * static_cast<int>(8s / 15ms) * 5 / 4);
 }
 
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_turnedAwayButToldByPeers_callsNoMore")
+TEST_CASE_FIXTURE(StoreReadPlanFixture,
+                  "storeReadPlan_refusedButUpdatedByPeers_makesNoFurtherCalls")
 {
     addRouters(100);
     CHECK(refuseFor(200ms, false, true) == 100);
@@ -120,7 +124,7 @@
     CHECK(plans.front()->isDue(state(false, true)));
 }
 
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_readerRefused_triesSeveralTimesASecond")
+TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_readerRefused_retriesSeveralTimesASecond")
 {
     addRouters(1);
     const int calls = refuseFor(3s, true, true);
@@ -144,8 +148,7 @@
     CHECK_FALSE(plan.isFailing());
 }
 
-TEST_CASE_FIXTURE(StoreReadPlanFixture,
-                  "storeReadPlan_nothingWrittenYet_isAskedAgainSoonAndIsNoFailure")
+TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_nothingWrittenYet_retriesSoonWithoutFailure")
 {
     addRouters(295);
     StoreReadPlan &plan = *plans.front();
@@ -157,7 +160,7 @@
     CHECK(plan.isDue(state(false, true)));
 }
 
-TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_callInProgress_noSecondOne")
+TEST_CASE_FIXTURE(StoreReadPlanFixture, "storeReadPlan_callInProgress_noSecondCallIsDue")
 {
     addRouters(1);
     StoreReadPlan &plan = *plans.front();
