--- a/src/Control/FleetView.cpp
+++ b/src/Control/FleetView.cpp
@@ -193,12 +193,12 @@
 int FleetView::sharingRouters() const
 {
     const TimePoint now = m_options.clock.now();
-    const auto heard = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &it) {
+    const auto recent = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &it) {
         return now - it.second.receivedAt <= m_options.sharingTimeout;
     });
     // Registered routers may serve even if no heartbeat of them was ever received.
     return static_cast<int>(
-            std::max<std::size_t>(static_cast<std::size_t>(heard), m_addresses.size()) + 1);
+            std::max<std::size_t>(static_cast<std::size_t>(recent), m_addresses.size()) + 1);
 }
 
 bool FleetView::mayRead(const Reader &it) const
@@ -211,16 +211,16 @@
 
 std::vector<std::string> FleetView::readers(const Reader &self) const
 {
-    const Duration longest = MaxSilentRounds * roundTime() + m_options.heartbeatTimeout;
+    const Duration maxSilence = MaxSilentRounds * roundTime() + m_options.heartbeatTimeout;
     const std::vector<RegisteredRouter> unseenRouters = unseen();
-    std::vector<Reader> able;
+    std::vector<Reader> candidates;
     const auto add = [&](const Reader &it) {
         if (mayRead(it))
-            able.push_back(it);
+            candidates.push_back(it);
     };
     add(self);
     for (const auto &[name, it] : m_peers) {
-        if (m_options.clock.now() - it.receivedAt > longest)
+        if (m_options.clock.now() - it.receivedAt > maxSilence)
             continue;
         add({.name = it.heartbeat.name,
              .processorShare = it.heartbeat.processorShare,
@@ -233,12 +233,12 @@
     const auto rank = [](const Reader &it) {
         return std::pair(-it.processorShare, hash64(it.name));
     };
-    std::sort(able.begin(), able.end(),
+    std::sort(candidates.begin(), candidates.end(),
               [&](const Reader &a, const Reader &b) { return rank(a) < rank(b); });
-    able.resize(std::min(able.size(), ReaderCount));
+    candidates.resize(std::min(candidates.size(), ReaderCount));
     std::vector<std::string> out;
-    out.reserve(able.size());
-    for (const Reader &it : able)
+    out.reserve(candidates.size());
+    for (const Reader &it : candidates)
         out.emplace_back(it.name);
     return out;
 }
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -106,9 +106,9 @@
     m_lastReceivedAt = m_options.clock.now();
     // Pages of the full list hold what other members already know; disseminating it again would
     // displace new updates.
-    const bool isNews = message.kind != PeerMessageKind::Sync;
+    const bool disseminate = message.kind != PeerMessageKind::Sync;
     for (const Member &it : message.updates)
-        accept(it, isNews);
+        accept(it, disseminate);
     handleSender(address, message);
     switch (message.kind) {
     case PeerMessageKind::Ping: {
@@ -160,67 +160,67 @@
     if (it->second.state == MemberState::Suspect || it->second.state == MemberState::Dead) {
         // The sender is alive, but only its own higher incarnation can refute the suspicion for all
         // members, so it is notified.
-        PeerMessage told = compose(PeerMessageKind::Gossip, message.from);
-        told.updates = {it->second};
-        m_options.send(address, std::move(told));
+        PeerMessage notice = compose(PeerMessageKind::Gossip, message.from);
+        notice.updates = {it->second};
+        m_options.send(address, std::move(notice));
     }
 }
 
-void Membership::accept(const Member &updates, bool disseminate)
+void Membership::accept(const Member &update, bool disseminate)
 {
-    if (updates.name == m_self.name) {
-        refute(updates);
+    if (update.name == m_self.name) {
+        refute(update);
         return;
     }
-    const auto it = m_members.find(updates.name);
-    if (it == m_members.end() && updates.state == MemberState::Dead)
+    const auto it = m_members.find(update.name);
+    if (it == m_members.end() && update.state == MemberState::Dead)
         return;
-    if (it != m_members.end() && !overrides(updates, it->second))
+    if (it != m_members.end() && !overrides(update, it->second))
         return;
-    applyUpdate(updates, disseminate);
+    applyUpdate(update, disseminate);
 }
 
-void Membership::applyUpdate(const Member &updates, bool disseminate)
+void Membership::applyUpdate(const Member &update, bool disseminate)
 {
-    const auto old = m_members.find(updates.name);
+    const auto old = m_members.find(update.name);
     const bool isNew = old == m_members.end();
-    const bool stateChanged = isNew || old->second.state != updates.state;
-    Member &member = m_members[updates.name];
+    const bool stateChanged = isNew || old->second.state != update.state;
+    Member &member = m_members[update.name];
     const Member before = member;
-    member = updates;
+    member = update;
     member.load = before.load;
     member.loadReceivedAt = before.loadReceivedAt;
     if (disseminate)
-        m_updates.add(updates);
+        m_updates.add(update);
     if (isNew)
         m_order.insert(
                 m_order.begin()
                         + static_cast<std::ptrdiff_t>(below(m_options.random, m_order.size() + 1)),
-                updates.name);
-    m_candidates.erase(updates.name);
+                update.name);
+    m_candidates.erase(update.name);
     const TimePoint now = m_options.clock.now();
-    if (updates.state == MemberState::Suspect)
-        m_deadlines[updates.name] = now + suspicionTime();
-    else if (updates.state == MemberState::Dead)
-        m_deadlines[updates.name] = now + m_options.timing.deadRetention;
+    if (update.state == MemberState::Suspect)
+        m_deadlines[update.name] = now + suspicionTime();
+    else if (update.state == MemberState::Dead)
+        m_deadlines[update.name] = now + m_options.timing.deadRetention;
     else
-        m_deadlines.erase(updates.name);
+        m_deadlines.erase(update.name);
     if (!stateChanged)
         return;
     // Callers must stop using the address of a dead or leaving router, so these updates do not wait
     // for the next probe.
-    m_gossipPending = m_gossipPending || updates.state == MemberState::Dead
-            || updates.state == MemberState::Leaving;
+    m_gossipPending = m_gossipPending || update.state == MemberState::Dead
+            || update.state == MemberState::Leaving;
     m_changed.emit(member);
 }
 
-void Membership::refute(const Member &updates)
+void Membership::refute(const Member &update)
 {
-    const bool wrong = updates.state != m_self.state;
-    if (updates.incarnation < m_self.incarnation
-        || (!wrong && updates.incarnation == m_self.incarnation))
+    const bool wrong = update.state != m_self.state;
+    if (update.incarnation < m_self.incarnation
+        || (!wrong && update.incarnation == m_self.incarnation))
         return;
-    m_self.incarnation = updates.incarnation + 1;
+    m_self.incarnation = update.incarnation + 1;
     m_updates.add(m_self);
     m_gossipPending = true;
 }
@@ -328,9 +328,9 @@
     if (++m_probe->attempts > 2) {
         probeIndirectly();
     } else if (it != m_members.end()) {
-        PeerMessage again = compose(PeerMessageKind::Ping, it->first);
-        again.probe = m_probe->id;
-        sendTo(it->second, std::move(again));
+        PeerMessage retry = compose(PeerMessageKind::Ping, it->first);
+        retry.probe = m_probe->id;
+        sendTo(it->second, std::move(retry));
     }
 }
 
@@ -369,13 +369,13 @@
         m_retryTarget = probe.target;
         return;
     }
-    Member updates = it->second;
-    if (updates.state == MemberState::Alive)
-        updates.state = MemberState::Suspect;
-    else if (updates.state == MemberState::Leaving)
-        updates.state = MemberState::Dead;
-    if (overrides(updates, it->second))
-        applyUpdate(updates);
+    Member update = it->second;
+    if (update.state == MemberState::Alive)
+        update.state = MemberState::Suspect;
+    else if (update.state == MemberState::Leaving)
+        update.state = MemberState::Dead;
+    if (overrides(update, it->second))
+        applyUpdate(update);
 }
 
 void Membership::contactCandidates()
@@ -547,9 +547,9 @@
         m_leaveRecipients.pop_back();
         if (it == m_members.end())
             continue;
-        PeerMessage told = compose(PeerMessageKind::Gossip, it->first);
-        told.updates = {m_self};
-        sendTo(it->second, std::move(told));
+        PeerMessage notice = compose(PeerMessageKind::Gossip, it->first);
+        notice.updates = {m_self};
+        sendTo(it->second, std::move(notice));
     }
     if (!m_leaveRecipients.empty())
         m_gossipRepeatAt = m_options.clock.now() + GossipPause;
--- a/src/Control/PeerState.cpp
+++ b/src/Control/PeerState.cpp
@@ -51,8 +51,8 @@
     out.evacuated.storeVersion = head["evacuated_version"].asUInt64();
     for (const Json::Value &it : head["evacuated"])
         out.evacuated.domains.insert(it.asString());
-    const Json::Value &told = head["prompts"];
-    for (auto it = told.begin(); it != told.end(); ++it) {
+    const Json::Value &promptLists = head["prompts"];
+    for (auto it = promptLists.begin(); it != promptLists.end(); ++it) {
         for (const Json::Value &part : *it)
             out.prompts[it.name()].push_back(part.asUInt64());
     }
--- a/src/Control/PromptDiscovery.h
+++ b/src/Control/PromptDiscovery.h
@@ -62,8 +62,9 @@
     std::vector<ReplicaRecord> due(std::span<const ReplicaRecord> engines);
 
     /// \returns the parts to announce to the other routers, the largest first, as parts that are
-    /// not announced may be processed again. \param cached parts that one engine caches. \param
-    /// engines number of engines.
+    /// not announced may be processed again.
+    /// \param cached parts that one engine caches.
+    /// \param engines number of engines.
     std::vector<std::uint64_t> partsToAnnounce(std::span<const PromptPart> cached,
                                                std::size_t engines) const;
 
--- a/src/Control/PromptUpdates.cpp
+++ b/src/Control/PromptUpdates.cpp
@@ -45,9 +45,9 @@
     const std::size_t n = std::min(maxParts, m_items.size());
     for (std::size_t i = 0; i < n; ++i) {
         out[m_items[i].replica].push_back(m_items[i].part);
-        ++m_items[i].told;
+        ++m_items[i].sends;
     }
-    std::erase_if(m_items, [heartbeats](const Item &it) { return it.told >= heartbeats; });
+    std::erase_if(m_items, [heartbeats](const Item &it) { return it.sends >= heartbeats; });
     return out;
 }
 
--- a/src/Control/PromptUpdates.h
+++ b/src/Control/PromptUpdates.h
@@ -36,7 +36,7 @@
     {
         std::string replica;
         std::uint64_t part = 0;
-        std::size_t told = 0; ///< Heartbeats that contained it.
+        std::size_t sends = 0; ///< Heartbeats that contained it.
     };
 
     const Clock &m_clock;
--- a/test/PeerCatchUpTest.cpp
+++ b/test/PeerCatchUpTest.cpp
@@ -61,10 +61,10 @@
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigApplyLimit_allowsOlderProofs")
 {
-    PeerCatchUp patient({.configApplyLimit = 4s});
-    patient.promptsReceived(true);
+    PeerCatchUp withLongerLimit({.configApplyLimit = 4s});
+    withLongerLimit.promptsReceived(true);
     own.proofAge = 2600ms;
-    CHECK_FALSE(patient.shouldFetchFrom(heartbeat, own));
+    CHECK_FALSE(withLongerLimit.shouldFetchFrom(heartbeat, own));
     own.proofAge = 5100ms;
-    CHECK(patient.shouldFetchFrom(heartbeat, own));
+    CHECK(withLongerLimit.shouldFetchFrom(heartbeat, own));
 }
--- a/test/PromptDiscoveryTest.cpp
+++ b/test/PromptDiscoveryTest.cpp
@@ -52,16 +52,17 @@
     /// Polls each router once.
     void poll()
     {
-        std::vector<std::pair<std::string, std::string>> told; // Engine and address of the router.
+        std::vector<std::pair<std::string, std::string>>
+                announced; // Engine and address of the router.
         for (const auto &it : routers) {
             for (const ReplicaRecord &engine : it->due(engines)) {
                 ++lists[engine.id];
                 it->discovered(engine.incarnation());
                 for (const std::string &address : it->receiversFor(engine.incarnation()))
-                    told.emplace_back(engine.incarnation(), address);
+                    announced.emplace_back(engine.incarnation(), address);
             }
         }
-        for (const auto &[engine, address] : told) {
+        for (const auto &[engine, address] : announced) {
             const auto router = byAddress.find(address);
             if (router != byAddress.end())
                 router->second->discovered(engine);
@@ -127,23 +128,23 @@
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_otherRoutersNotKnown_asksNoEngine")
 {
-    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
+    PromptDiscovery discovery({.clock = clock, .self = registered.front().peerAddress});
     for (int i = 0; i < 40; ++i) {
-        CHECK(survey.due(engines).empty());
+        CHECK(discovery.due(engines).empty());
         clock.advance(50ms);
     }
-    survey.setRouters(others(0));
-    const std::size_t share = survey.due(engines).size();
+    discovery.setRouters(others(0));
+    const std::size_t share = discovery.due(engines).size();
     CHECK(share > 0);
     CHECK(share < engines.size() / 3);
-    CHECK(survey.due(engines).empty());
+    CHECK(discovery.due(engines).empty());
 }
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_onlyRouter_asksAllEngines")
 {
-    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
-    survey.setRouters({});
-    CHECK(survey.due(engines).size() == engines.size());
+    PromptDiscovery discovery({.clock = clock, .self = registered.front().peerAddress});
+    discovery.setRouters({});
+    CHECK(discovery.due(engines).size() == engines.size());
 }
 
 TEST_CASE("promptDiscovery_hundredsOfRoutersKnowTheOthersAtDifferentTimes_"
@@ -171,18 +172,18 @@
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_manyEngines_announcesTheLargestParts")
 {
-    const PromptDiscovery survey({.clock = clock, .self = "a:2", .maxAnnouncedParts = 100});
+    const PromptDiscovery discovery({.clock = clock, .self = "a:2", .maxAnnouncedParts = 100});
     const std::vector<PromptPart> cached{{1, 10}, {2, 800}, {3, 30}, {4, 900}};
-    CHECK(survey.partsToAnnounce(cached, 50) == std::vector<std::uint64_t>{4, 2});
-    CHECK(survey.partsToAnnounce(cached, 2) == std::vector<std::uint64_t>{4, 2, 3, 1});
+    CHECK(discovery.partsToAnnounce(cached, 50) == std::vector<std::uint64_t>{4, 2});
+    CHECK(discovery.partsToAnnounce(cached, 2) == std::vector<std::uint64_t>{4, 2, 3, 1});
 }
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptDiscovery_noEngines_neverStarts")
 {
-    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
-    survey.setRouters(others(0));
-    CHECK(survey.due({}).empty());
+    PromptDiscovery discovery({.clock = clock, .self = registered.front().peerAddress});
+    discovery.setRouters(others(0));
+    CHECK(discovery.due({}).empty());
     clock.advance(10s);
-    CHECK_FALSE(survey.isFinished());
-    CHECK(survey.due({}).empty());
+    CHECK_FALSE(discovery.isFinished());
+    CHECK(discovery.due({}).empty());
 }
