--- a/src/Control/StoreReadPlan.cpp
+++ b/src/Control/StoreReadPlan.cpp
@@ -32,7 +32,8 @@
     const bool isAlone = state.routers <= 1;
     const Duration shared =
             m_options.fleetPause * (isAlone ? m_options.assumedFleetSize : state.routers);
-    // One failure may be a lost packet; whoever knows nobody can't tell and tries a second time.
+    // A single failure may be a lost packet. A router that knows no other cannot tell and calls a
+    // second time.
     const bool retriesSoon = isAlone && m_failures < 2;
     const Duration whole = state.reader || !m_failed || retriesSoon
             ? m_options.readerPause
