--- a/test/ClaimInterleavingTest.cpp
+++ b/test/ClaimInterleavingTest.cpp
@@ -14,14 +14,15 @@
 
 namespace {
 
-/// Which rule the routers of a check follow; all but Correct are broken on purpose.
+/// The protocol that the routers follow. All but Correct contain a deliberate fault.
 enum class Rule {
     Correct,
-    TakeOver, ///< A claim whose deadline passed is removed and claimed again.
-    SendUnclaimed, ///< A call is sent although the store did not take its claim.
+    TakeOver, ///< A claim whose deadline has passed is removed and claimed again.
+    SendUnclaimed, ///< A call is sent although the store did not record its claim.
 };
 
-/// Two routers, three attempts of one caller at one call, and a store that fails in every way.
+/// Two routers, up to three attempts of one caller at the same call, and a store with all kinds of
+/// faults.
 class World
 {
 public:
@@ -56,14 +57,14 @@
         for (const Attempt &it : m_attempts) {
             runs += it.executed ? 1 : 0;
             if (it.executed && it.told == Verdict::NotRun)
-                return "a caller was told not_run of an attempt that ran";
+                return "a caller got not_run for an attempt that ran";
             if (it.replayed && *it.replayed != m_firstAnswer)
-                return "a retry got another answer than the first";
+                return "a retry got another answer than the first attempt";
         }
         return runs > 1 ? "the call ran twice" : "";
     }
 
-    /// Lets everything under way end well and asks once more.
+    /// Completes everything in flight without faults and makes one more attempt.
     std::string settle()
     {
         for (int i = 0; i < 4; ++i) {
@@ -80,7 +81,7 @@
         const Attempt &last = m_attempts.back();
         const bool explained = m_crashed || m_answerLost;
         if (last.told && *last.told != Verdict::NotRun && !explained)
-            return "a call that no fault left in doubt can't be repeated";
+            return "a call without a fault that makes its outcome unknown can't be retried";
         return violation();
     }
 
@@ -218,7 +219,7 @@
             answer(i);
     }
 
-    /// Two of them pass the deadline of the first attempt.
+    /// Advances the time. Two calls exceed the deadline of the first attempt.
     void tick()
     {
         ++m_ticks;
@@ -254,7 +255,7 @@
     bool m_answerLost = false;
 };
 
-/// Walks through every order of events up to a depth, starting afresh for each order.
+/// Explores every sequence of events up to a depth. Each sequence starts from the initial state.
 struct Exploration
 {
     Rule rule = Rule::Correct;
@@ -297,7 +298,7 @@
         } while (!choices.empty() && violation.empty());
     }
 
-    /// Longer orders than can all be walked through, chosen at random.
+    /// Runs random sequences, for depths at which exploring all of them takes too long.
     void sample(int n, std::uint64_t seed)
     {
         const RandomSource random = seededRandom(seed);
@@ -317,23 +318,25 @@
 
 } // namespace
 
-TEST_CASE("claimKeeper_everyOrderOfFaults_runsAtMostOnceAndTellsTheTruth")
+// Guards against calls that run twice and wrong verdicts under any combination of two faults: lost,
+// late or refused store operations, lost answers, declined calls and a crashed router.
+TEST_CASE("claimManager_everySequenceOfFaults_runsAtMostOnceWithCorrectVerdict")
 {
     Exploration all{.depth = 6};
     all.run();
-    MESSAGE("claims: ", all.states, " states, ", all.orders, " orders to depth ", all.depth);
+    MESSAGE("claims: ", all.states, " states, ", all.orders, " sequences to depth ", all.depth);
     CHECK(all.violation == "");
     CHECK(all.states > 10'000);
 }
 
-TEST_CASE("claimKeeper_longOrdersOfFaults_runsAtMostOnceAndTellsTheTruth")
+TEST_CASE("claimManager_longSequencesOfFaults_runsAtMostOnceWithCorrectVerdict")
 {
     Exploration longer{.depth = 24};
     longer.sample(20'000, 1);
     CHECK(longer.violation == "");
 }
 
-TEST_CASE("claimKeeper_brokenRule_isCaughtByTheSameCheck")
+TEST_CASE("claimManager_faultyProtocol_isDetectedByTheSameCheck")
 {
     Exploration takeOver{.rule = Rule::TakeOver, .depth = 6};
     takeOver.run();
--- a/test/ClaimKeeperTest.cpp
+++ b/test/ClaimKeeperTest.cpp
@@ -27,7 +27,7 @@
                                                                   .router = "a"});
     }
 
-    /// Starts a claim; the result comes to `results` in the place returned.
+    /// Starts a claim. \returns the index in `results` at which its result is stored.
     std::size_t claim(ClaimKeeper &on, const std::string &key, const std::string &print = "f")
     {
         const std::size_t i = results.size();
@@ -47,7 +47,7 @@
     ClaimPtr granted(const std::string &key)
     {
         const std::size_t i = claim(*keeper, key);
-        // A key that was withdrawn takes a second write.
+        // A key that was released before takes a second write.
         for (int n = 0; n < 2; ++n) {
             pass(*keeper);
             table.endAll();
@@ -86,7 +86,7 @@
         CHECK((it && it->has_value()));
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claims_oneConflictingRow_leavesTheOthersGranted")
+TEST_CASE_FIXTURE(ClaimFixture, "claims_oneConflictingRow_othersAreGranted")
 {
     const auto other = make(2);
     claim(*other, "taken");
@@ -126,7 +126,7 @@
     CHECK(reasonOf(claim(*keeper, "running", "another fingerprint")) == Reason::KeyReused);
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claims_holderGone_staysUnknownForGood")
+TEST_CASE_FIXTURE(ClaimFixture, "claims_holderCrashed_outcomeStaysUnknown")
 {
     granted("key");
     keeper.reset();
@@ -143,26 +143,26 @@
     CHECK((results[after]->error().verdict == Verdict::MayHaveRun));
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claims_silentStore_isToldNotRunInTimeAndNeverSent")
+TEST_CASE_FIXTURE(ClaimFixture, "claims_storeTimeout_reportsNotRunAndReleasesTheKey")
 {
     const std::size_t i = claim(*keeper, "key");
     pass(*keeper);
     pass(*keeper, 3s);
     CHECK(reasonOf(i) == Reason::ClaimStoreDown);
     CHECK((results[i]->error().verdict == Verdict::NotRun));
-    // The commit comes through after all: the key has to be free again for the caller's retry.
+    // The commit succeeds after the timeout. The caller's retry must still be able to claim the key.
     table.endAll();
     pass(*keeper);
     table.endAll();
     granted("key");
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claims_lateEffectOfAWithdrawnClaim_doesNotBlockTheKey")
+TEST_CASE_FIXTURE(ClaimFixture, "claims_lateWriteOfAReleasedClaim_doesNotBlockTheKey")
 {
     const std::size_t i = claim(*keeper, "key");
     pass(*keeper);
     table.end(0, Fate::Late); // The commit.
-    table.end(0, Fate::Refused); // Reading it back.
+    table.end(0, Fate::Refused); // The read after the commit's lost answer.
     CHECK(reasonOf(i) == Reason::ClaimStoreDown);
     pass(*keeper);
     table.endAll();
@@ -178,7 +178,7 @@
     CHECK(!keeper->maySend(*it));
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claims_storeDownForTheOutcome_keepsTryingAndAnswersLocally")
+TEST_CASE_FIXTURE(ClaimFixture, "claims_storeUnavailableForTheOutcome_retriesAndAnswersLocally")
 {
     const ClaimPtr it = granted("key");
     keeper->recordAnswer(it, {200, "text/plain", "done"});
@@ -193,7 +193,7 @@
     CHECK(keeper->unrecorded() == 0);
 }
 
-TEST_CASE_FIXTURE(ClaimFixture, "claimSweeper_expiredRow_isRemovedAndFreshOnesStay")
+TEST_CASE_FIXTURE(ClaimFixture, "claimSweeper_expiredRow_isRemovedAndOthersStay")
 {
     ClaimRow row;
     row.expires = clock.wallNow();
--- a/test/EntryFiltersTest.cpp
+++ b/test/EntryFiltersTest.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(EntryFiltersFixture, "entryFilters_knownKey_namesRouteAndWorkspace")
+TEST_CASE_FIXTURE(EntryFiltersFixture, "entryFilters_knownKey_findsRouteAndWorkspace")
 {
     REQUIRE(run("/k/a", "key"));
     CHECK(request.route->name == "keyed");
@@ -67,7 +67,7 @@
     CHECK((refused.error().verdict == Verdict::NotRun));
     CHECK(refused.error().retryAfter);
     REQUIRE(run("/o/a", "key"));
-    CHECK(request.workspace == nullptr); // It may have been taken away.
+    CHECK(request.workspace == nullptr); // The key may have been revoked.
 }
 
 TEST_CASE_FIXTURE(EntryFiltersFixture, "entryFilters_noProofRequired_servesAtAnyAge")
--- a/test/PlatformCodecTest.cpp
+++ b/test/PlatformCodecTest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("configDecoder_operatorsText_isDecodedWhole")
+TEST_CASE("configDecoder_operatorsConfig_isDecodedCompletely")
 {
     const Result<RouteConfigPtr> read = platform::decodeConfig(ConfigText);
     REQUIRE(read);
@@ -55,7 +55,7 @@
     CHECK(it.sourceText == ConfigText);
 }
 
-TEST_CASE("configDecoder_wrongTypesOrNoJson_isAnError")
+TEST_CASE("configDecoder_wrongTypesOrInvalidJson_isAnError")
 {
     CHECK_FALSE(platform::decodeConfig("nothing"));
     CHECK_FALSE(platform::decodeConfig(R"({"version":{}})"));
@@ -81,7 +81,7 @@
     CHECK(it.prompt[1].tokens == 410);
 }
 
-TEST_CASE("requestCodec_rubbishInHeaders_countsAsNotSaid")
+TEST_CASE("requestCodec_malformedHeaders_countAsMissing")
 {
     const CallFacts it = platform::decodeRequest({{"X-Request-Deadline", "-5"},
                                                   {"Authorization", "Basic eA=="},
@@ -94,7 +94,7 @@
         CHECK(part.tokens == 0);
 }
 
-TEST_CASE("requestCodec_answers_tellWhetherTheRequestRan")
+TEST_CASE("requestCodec_answers_showWhetherTheRequestRan")
 {
     const HttpHead refused{.status = 503, .headers = {{"X-Not-Executed", "1"}}};
     CHECK(platform::decodeAnswer(refused).notExecuted);
@@ -138,7 +138,7 @@
     CHECK(it->metricsAddress.empty());
 }
 
-TEST_CASE("entrySettings_mistakes_areAllNamed")
+TEST_CASE("entrySettings_mistakes_areAllReported")
 {
     YamlProblems problems;
     CHECK_FALSE(EntrySettings::parse("name: a\nfailure_domain: b\ncaller_address: nowhere\n"
@@ -147,7 +147,7 @@
     CHECK(problems.size() >= 4);
 }
 
-TEST_CASE("enginePrompts_listOfAnEngine_isDecodedAndRubbishIsRefused")
+TEST_CASE("enginePrompts_listOfAnEngine_isDecodedAndMalformedOnesAreRefused")
 {
     const auto read = platform::promptsIn(
             R"({"epoch":1,"next":5,"held":[["","5c1e",800,"m"],["","91bd",410,"m"]]})");
@@ -159,7 +159,7 @@
     CHECK_FALSE(platform::promptsIn(R"({"held":[[1,{}]]})"));
 }
 
-TEST_CASE("requestCodec_loadOfAReplica_isReadWhereItIsWhole")
+TEST_CASE("requestCodec_loadOfAReplica_isDecodedIfComplete")
 {
     const auto loadIn = [](const char *text) {
         return platform::decodeAnswer({.status = 200, .headers = {{"X-Server-Load", text}}}).load;
@@ -173,7 +173,7 @@
         CHECK_FALSE(loadIn(it));
 }
 
-TEST_CASE("platformCodec_answerOfAReplica_saysThatItLeavesOrPauses")
+TEST_CASE("platformCodec_answerOfAReplica_showsLeavingAndPause")
 {
     const auto pause = [](int status, const std::string &text) {
         return platform::decodeAnswer({.status = status, .headers = {{"Retry-After", text}}}).pause;
--- a/test/ReplicaEntryTest.cpp
+++ b/test/ReplicaEntryTest.cpp
@@ -30,7 +30,7 @@
         return platform::decodeReplicaEntry(id, printJson(entry));
     }
 
-    /// \returns whether the entry still names a replica when \a field has \a value.
+    /// \returns whether the entry is still valid if \a field has \a value.
     bool isUsable(const char *field, const Json::Value &value) const
     {
         Json::Value changed = entry;
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_ofAReplica_isDecodedWhole")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_ofAReplica_isDecodedCompletely")
 {
     entry["born"] = Json::Int64(1'700'000'001'234);
     entry["state"] = "draining";
@@ -59,7 +59,7 @@
     CHECK(it.value().incarnation() == "i-1~1234");
 }
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_withoutAStart_isKnownByItsIdAlone")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_withoutAStartTime_isIdentifiedByItsId")
 {
     const Result<ReplicaRecord> it = decode();
     REQUIRE(it);
@@ -67,7 +67,7 @@
     CHECK(it.value().incarnation() == "i-1");
 }
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_fieldMissing_namesNoReplica")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_missingField_isRefused")
 {
     for (const std::string &field : entry.getMemberNames()) {
         CAPTURE(field);
@@ -77,7 +77,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_fieldOfAnotherType_namesNoReplica")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_fieldOfAnotherType_isRefused")
 {
     for (const std::string &field : entry.getMemberNames()) {
         CAPTURE(field);
@@ -91,7 +91,7 @@
         CHECK_FALSE(isUsable("born", it));
 }
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_valueOutOfRange_namesNoReplica")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_valueOutOfRange_isRefused")
 {
     CHECK_FALSE(isUsable("state", "resting"));
     CHECK_FALSE(isUsable("state", ""));
@@ -103,14 +103,14 @@
     CHECK_FALSE(decode("i-1\r\nX-Other: 1"));
 }
 
-TEST_CASE("replicaEntry_bytesThatAreNoJson_nameNoReplica")
+TEST_CASE("replicaEntry_invalidJson_isRefused")
 {
     for (const char *it : {"", "{", "[]", "7", "\xff\xfe\x01", "null", "{\"service\":"})
         CHECK_FALSE(platform::decodeReplicaEntry("i-1", it));
     CHECK_FALSE(platform::decodeReplicaEntry("i-1", std::string(100'000, '[')));
 }
 
-TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_toldToARouter_comesBackTheSame")
+TEST_CASE_FIXTURE(ReplicaEntryFixture, "replicaEntry_announcedToARouter_isDecodedUnchanged")
 {
     entry["born"] = Json::Int64(1'700'000'001'234);
     entry["cold-remaining-ms"] = 2500.5;
@@ -125,7 +125,7 @@
     REQUIRE(told.value().replicas.size() == 1);
     const ReplicaRecord &read = told.value().replicas.front();
     CHECK(sent.coldFor == 2500500us);
-    CHECK(read.coldFor == 2501ms); // Rounded up: a replica never looks warm too early.
+    CHECK(read.coldFor == 2501ms); // Rounded up, so that a replica never counts as warm too early.
     CHECK(read.incarnation() == sent.incarnation());
     CHECK(read.startedAt == sent.startedAt);
     CHECK(read.address == sent.address);
--- a/test/RequestFramingTest.cpp
+++ b/test/RequestFramingTest.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("requestFraming_eachAmbiguity_isNamed")
+TEST_CASE("requestFraming_eachAmbiguity_isReported")
 {
     const std::vector<FramingCase> cases = {
             {"GET", "/", {}, FramingFault::None},
--- a/test/RouteTableTest.cpp
+++ b/test/RouteTableTest.cpp
@@ -47,12 +47,12 @@
     CHECK(at("h.example", "") == "none");
 }
 
-TEST_CASE_FIXTURE(RouteTableFixture, "routeTable_hostWithPortAndCapitals_isTheSame")
+TEST_CASE_FIXTURE(RouteTableFixture, "routeTable_hostWithPortAndCapitals_matches")
 {
     CHECK(at("O.Example:8227", "/a/z") == "other");
 }
 
-TEST_CASE_FIXTURE(RouteTableFixture, "routeTable_key_namesItsWorkspace")
+TEST_CASE_FIXTURE(RouteTableFixture, "routeTable_key_findsItsWorkspace")
 {
     CHECK(table->workspaceOf("k2")->name == "w");
     CHECK(table->workspaceOf("k3")->name == "v");
--- a/test/SendingsTest.cpp
+++ b/test/SendingsTest.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SendingsFixture, "sendings_idempotentCall_goesToTwoReplicasTwiceEach")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_idempotentCall_allowsTwoAttemptsOnEachOfTwoReplicas")
 {
     for (const char *it : {"a", "b", "a"}) {
         CHECK(sendings.mayRepeat(route));
@@ -27,7 +27,7 @@
     CHECK_FALSE(sendings.mayRepeat(route));
 }
 
-TEST_CASE_FIXTURE(SendingsFixture, "sendings_stream_isSentNoMoreOftenThanReplicasAreAllowed")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_stream_allowsNoMoreAttemptsThanReplicas")
 {
     route.kind = CallKind::Streaming;
     sendings.sent("a");
@@ -37,7 +37,7 @@
     CHECK_FALSE(sendings.isBoundToReached(route));
 }
 
-TEST_CASE_FIXTURE(SendingsFixture, "sendings_sendingThatDidNotArrive_doesNotCount")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_attemptThatDidNotArrive_doesNotCount")
 {
     sendings.sent("a");
     sendings.didNotArrive("a");
@@ -47,7 +47,7 @@
     CHECK(sendings.count() == 0);
 }
 
-TEST_CASE_FIXTURE(SendingsFixture, "sendings_secondSendingDidNotArrive_firstStillCounts")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_secondAttemptDidNotArrive_firstStillCounts")
 {
     sendings.sent("a");
     sendings.sent("a");
@@ -56,7 +56,7 @@
     CHECK(sendings.reached().size() == 1);
 }
 
-TEST_CASE_FIXTURE(SendingsFixture, "sendings_replicasUnreachable_fourMoreAreTried")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_replicasUnreachable_fourMoreAreTried")
 {
     int tried = 0;
     for (bool more = true; more; ++tried) {
--- a/test/StreamResumeTest.cpp
+++ b/test/StreamResumeTest.cpp
@@ -18,7 +18,7 @@
     return out;
 }
 
-/// What a caller gets of the pieces that its connections bring.
+/// Feeds pieces of a stream and collects the events that the caller receives.
 struct StreamFixture
 {
     bool feed(std::string_view data)
@@ -41,7 +41,7 @@
 
 using Step = EventOrder::Step;
 
-/// \returns what \a order says of events \a ids of the connection at hand.
+/// \returns the results of \a order for the events \a ids on the current connection.
 std::vector<Step> take(EventOrder &order, const std::vector<std::int64_t> &ids)
 {
     std::vector<Step> out;
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("eventOrder_idsIncreaseBySteps_areDelivered")
+TEST_CASE("eventOrder_idsIncreaseWithGaps_areDelivered")
 {
     EventOrder order;
     CHECK(take(order, {1, 2, 5, 20}) == std::vector(4, Step::Deliver));
@@ -62,8 +62,8 @@
     CHECK(!order.isBroken());
 }
 
-// Guards against a stream with a hole that ends as a complete one.
-TEST_CASE("eventOrder_idFallsWithinOneConnection_isDisorder")
+// Guards against a stream that lacks an event and is still reported to the caller as complete.
+TEST_CASE("eventOrder_idDecreasesWithinOneConnection_isDisorder")
 {
     EventOrder order;
     CHECK(take(order, {1, 5, 2}) == std::vector{Step::Deliver, Step::Deliver, Step::Disorder});
@@ -82,7 +82,7 @@
     CHECK(order.isBroken());
 }
 
-TEST_CASE("eventOrder_repeatedEventsOutOfOrder_leaveTheCallersPartWhole")
+TEST_CASE("eventOrder_repeatedEventsOutOfOrder_deliveredEventsStayComplete")
 {
     EventOrder order;
     take(order, {1, 2, 3});
@@ -92,7 +92,7 @@
     CHECK(order.last() == 3);
 }
 
-TEST_CASE("eventOrder_resumedBehindTheWrongEvent_isAGap")
+TEST_CASE("eventOrder_resumedAfterTheWrongEvent_isAGap")
 {
     EventOrder order;
     take(order, {1, 2, 3});
@@ -103,7 +103,7 @@
     CHECK(order.take(4) == Step::Deliver);
 }
 
-TEST_CASE("eventOrder_idsWithSteps_mayGoOnWithAnyLaterOne")
+TEST_CASE("eventOrder_idsWithGaps_mayResumeWithAnyLaterOne")
 {
     EventOrder order;
     take(order, {10, 20});
@@ -120,10 +120,10 @@
     EventOrder order(12);
     CHECK(take(order, {11, 12, 13}) == std::vector{Step::Skip, Step::Skip, Step::Deliver});
     EventOrder later(12);
-    CHECK(later.take(15) == Step::Deliver); // Only the caller knows what it had before.
+    CHECK(later.take(15) == Step::Deliver); // Whether the ids were consecutive before is unknown.
 }
 
-TEST_CASE("sseReader_everyCutOfAStream_bringsTheSameEvents")
+TEST_CASE("sseReader_streamSplitAnywhere_yieldsTheSameEvents")
 {
     const std::string whole = streamOf(0, 3) + "data: [DONE]\n\n";
     for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
@@ -148,7 +148,7 @@
     CHECK(delivered == streamOf(0, 8));
 }
 
-TEST_CASE_FIXTURE(StreamFixture, "sseReader_endMarkerWithinText_isNoEnd")
+TEST_CASE_FIXTURE(StreamFixture, "sseReader_endMarkerWithinText_isIgnored")
 {
     feed("id: 0\ndata: {\"content\":\"data: [DONE]\"}\n\n");
     CHECK(!ended);
--- a/test/VerdictRulesTest.cpp
+++ b/test/VerdictRulesTest.cpp
@@ -9,7 +9,7 @@
 
 using namespace catkinloft;
 
-TEST_CASE("verdictRules_designPage_statesTheSameTable")
+TEST_CASE("verdictRules_designPage_containsTheSameTable")
 {
     std::ifstream in(CATKINLOFT_SOURCES "/docs/design/requests.md");
     std::ostringstream page;
@@ -22,7 +22,7 @@
     }
 }
 
-TEST_CASE("verdictRules_everyRow_repeatsOnlyWhatCannotDouble")
+TEST_CASE("verdictRules_everyRow_retriesOnlyIfItCannotRunTwice")
 {
     for (const VerdictRule &it : VerdictTable) {
         CAPTURE(toString(it.path));
