--- a/test/VerdictRulesTest.cpp
+++ b/test/VerdictRulesTest.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-TEST_CASE("verdictRules_everyRow_retriesOnlyIfItCannotRunTwice")
+TEST_CASE("verdictRules_everyRow_retriesOnlyIfIdempotentOrNotRun")
 {
     for (const VerdictRule &it : VerdictTable) {
         CAPTURE(toString(it.path));
