--- a/src/Request/ClaimKeeper.cpp
+++ b/src/Request/ClaimKeeper.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 /// How long the row of a completed call is retained. Callers retry within minutes; one day also
-/// covers an operator who notices a failed call on the next morning. It exceeds the longest deadline
-/// (one hour) plus any error of the routers' wall clocks, so no holder can still send when its row
-/// is removed.
+/// covers an operator who notices a failed call on the next morning. It exceeds the longest
+/// deadline (one hour) plus any error of the routers' wall clocks, so no holder can still send when
+/// its row is removed.
 constexpr auto Retention = 24h;
 
 /// How long rows with an unknown outcome are retained. They stay longer because a person has to
@@ -30,9 +30,9 @@
 /// shorter, and 64 rows of this size make a transaction of 1 MB.
 constexpr std::size_t MaxInlineBody = 16 * 1024;
 
-/// Maximum number of outcomes that are kept in memory while the store is unavailable. 1,000 outcomes
-/// of 16 KB take 16 MB and cover an outage of 90 seconds at 11 calls per second and router. An
-/// outcome that does not fit is dropped, and retries of its call get outcome_unknown.
+/// Maximum number of outcomes that are kept in memory while the store is unavailable. 1,000
+/// outcomes of 16 KB take 16 MB and cover an outage of 90 seconds at 11 calls per second and
+/// router. An outcome that does not fit is dropped, and retries of its call get outcome_unknown.
 constexpr std::size_t MaxSettlements = 1000;
 
 constexpr Duration FirstBackoff = 100ms;
--- a/src/Request/ClaimKeeper.h
+++ b/src/Request/ClaimKeeper.h
@@ -16,10 +16,10 @@
 ///
 /// Before anything is sent, one compare-and-set creates the row of the key. Only the attempt that
 /// created it may send: no other router takes a claim over, however long its holder does not
-/// respond. So a holder that was paused can do no harm, and safety depends on no clock. In return, a
-/// call whose router crashed between the claim and the send, a gap of microseconds, is reported as
-/// outcome_unknown although it did not run. A second compare-and-set before each send would avoid
-/// this, but needs 50% more writes.
+/// respond. So a holder that was paused can do no harm, and safety depends on no clock. In return,
+/// a call whose router crashed between the claim and the send, a gap of microseconds, is reported
+/// as outcome_unknown although it did not run. A second compare-and-set before each send would
+/// avoid this, but needs 50% more writes.
 ///
 /// \sa docs/design/requests.md for the alternatives.
 class ClaimKeeper
@@ -73,14 +73,14 @@
     /// removed.
     bool maySend(const Claim &claim) const;
 
-    /// \brief Records the answer of the call. The write is retried until the store accepts it or the
-    /// claim expires.
+    /// \brief Records the answer of the call. The write is retried until the store accepts it or
+    /// the claim expires.
     void recordAnswer(const ClaimPtr &claim, RecordedAnswer answer);
     /// \brief Records that the call was sent and its outcome is unknown, with the same retries.
     void recordUnknown(const ClaimPtr &claim);
 
-    /// \brief Releases the key so that it can be claimed again. Only allowed for a claim under which
-    /// nothing was or will be sent.
+    /// \brief Releases the key so that it can be claimed again. Only allowed for a claim under
+    /// which nothing was or will be sent.
     void release(const ClaimPtr &claim);
 
     /// \brief Handles timeouts and due writes. Has to be called at nextDeadline().
--- a/src/Request/ClaimRow.h
+++ b/src/Request/ClaimRow.h
@@ -30,7 +30,7 @@
 
     State state = State::Claimed;
     std::string fingerprint; ///< Hash of the request, so that a key can't be used for two requests.
-    std::string attempt; ///< Random id by which a router recognises its own write after a lost answer.
+    std::string attempt; ///< Random; identifies an own write after a lost answer.
     std::string router;
     WallTime until; ///< The holder sends nothing after this time.
     WallTime expires; ///< The row may be removed after this time.
--- a/src/Request/ClaimSweeper.cpp
+++ b/src/Request/ClaimSweeper.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Mean time between two scans over the whole fleet. One shard per second covers all shards in 18
-/// hours, which is less than the retention of claims. It costs one scan per second and, at 100 calls
-/// per second, two transactions per second.
+/// hours, which is less than the retention of claims. It costs one scan per second and, at 100
+/// calls per second, two transactions per second.
 constexpr Duration FleetInterval = std::chrono::seconds(1);
 
 constexpr std::size_t MaxScan = 512; ///< Rows of a shard; 100 calls per second leave 132 a day.
--- a/src/Request/EntryFilters.cpp
+++ b/src/Request/EntryFilters.cpp
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-/// Safety margin below the limit of the proof's age. It covers the time between the caller's sending
-/// of a request and the check here.
+/// Safety margin below the limit of the proof's age. It covers the time between the caller's
+/// sending of a request and the check here.
 constexpr Duration ProofMargin = 200ms;
 
 /// Retry-After of a router without a fresh proof. In this time it tries several times to reach the
@@ -73,7 +73,8 @@
         return outcome::success();
     const bool none = request.facts.key.empty();
     return Error{.reason = none ? Reason::NoKey : Reason::UnknownKey,
-                 .detail = none ? "the route requires an API key" : "no workspace has this API key"};
+                 .detail =
+                         none ? "the route requires an API key" : "no workspace has this API key"};
 }
 
 Result<void> EntryFilters::checkProof(const EntryRequest &request) const
--- a/src/Request/EntryFilters.h
+++ b/src/Request/EntryFilters.h
@@ -42,7 +42,8 @@
     bool isProven() const;
 
     /// \returns an error if the proof that the request's API key is still valid is too old. Has to
-    /// be checked again before each attempt, because the process may have been suspended in between.
+    /// be checked again before each attempt, because the process may have been suspended in
+    /// between.
     Result<void> checkProof(const EntryRequest &request) const;
 
 private:
--- a/src/Request/GroupCommitter.cpp
+++ b/src/Request/GroupCommitter.cpp
@@ -151,7 +151,9 @@
     if (round < MaxRounds)
         commit(rest, round + 1);
     else
-        fail(*rest, {.reason = Reason::StoreDown, .detail = "the write is unresolved after the last retry"});
+        fail(*rest,
+             {.reason = Reason::StoreDown,
+              .detail = "the write is unresolved after the last retry"});
 }
 
 void GroupCommitter::fail(Batch &batch, const Error &error)
--- a/src/Request/RequestFraming.h
+++ b/src/Request/RequestFraming.h
@@ -24,8 +24,8 @@
 /// \brief Checks whether the framing of a received request is unambiguous.
 ///
 /// Handles requests of hostile callers. Prevents request smuggling: if this listener and another
-/// server disagree on where a body ends, part of it runs as a request that nobody sent. An ambiguous
-/// request is refused and its connection closed.
+/// server disagree on where a body ends, part of it runs as a request that nobody sent. An
+/// ambiguous request is refused and its connection closed.
 /// \param headers all headers as received; the case of their names does not matter.
 FramingFault framingFault(std::string_view method, std::string_view target,
                           std::span<const std::pair<std::string, std::string>> headers);
--- a/src/Request/ResumeToken.cpp
+++ b/src/Request/ResumeToken.cpp
@@ -12,8 +12,8 @@
 constexpr char FieldEnd = '\n';
 constexpr char PartEnd = '.';
 
-/// Prefix of the signed text. It prevents the signature of another kind of token, made with the same
-/// key, from being accepted here.
+/// Prefix of the signed text. It prevents the signature of another kind of token, made with the
+/// same key, from being accepted here.
 constexpr std::string_view Purpose = "resume\n";
 
 std::string signature(const SharedKey &key, std::string_view payload)
--- a/src/Request/RouteTable.h
+++ b/src/Request/RouteTable.h
@@ -15,8 +15,8 @@
 public:
     explicit RouteTable(RouteConfigPtr config);
 
-    /// \brief Finds a route. Handles configurations with hundreds of routes, because the cost depends
-    /// only on the depth of the path.
+    /// \brief Finds a route. Handles configurations with hundreds of routes, because the cost
+    /// depends only on the depth of the path.
     /// \param host value of the Host header; case and port are ignored.
     /// \returns the route with the longest prefix of \a path, or null.
     const Route *match(std::string_view host, std::string_view path) const;
--- a/src/Request/Sendings.h
+++ b/src/Request/Sendings.h
@@ -21,7 +21,8 @@
     /// \brief Removes the last attempt on \a id, because the request did not arrive there.
     void didNotArrive(const std::string &id);
 
-    /// \brief Records that no connection to \a id could be made, and removes the last attempt on it.
+    /// \brief Records that no connection to \a id could be made, and removes the last attempt on
+    /// it.
     /// \returns whether another replica should be tried.
     bool wasUnreachable(const std::string &id);
 
--- a/test/ClaimKeeperTest.cpp
+++ b/test/ClaimKeeperTest.cpp
@@ -150,7 +150,8 @@
     pass(*keeper, 3s);
     CHECK(reasonOf(i) == Reason::ClaimStoreDown);
     CHECK((results[i]->error().verdict == Verdict::NotRun));
-    // The commit succeeds after the timeout. The caller's retry must still be able to claim the key.
+    // The commit succeeds after the timeout. The caller's retry must still be able to claim the
+    // key.
     table.endAll();
     pass(*keeper);
     table.endAll();
--- a/test/SendingsTest.cpp
+++ b/test/SendingsTest.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_idempotentCall_allowsTwoAttemptsOnEachOfTwoReplicas")
+TEST_CASE_FIXTURE(SendingsFixture, "attemptHistory_idempotentCall_allowsTwoAttemptsPerReplica")
 {
     for (const char *it : {"a", "b", "a"}) {
         CHECK(sendings.mayRepeat(route));
