--- a/bench/measure/ClaimsMeasure.cpp
+++ b/bench/measure/ClaimsMeasure.cpp
@@ -1,7 +1,7 @@
 #include "Measure.h"
 
 #include "Base/ManualClock.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 
 #include <algorithm>
 #include <cmath>
@@ -93,13 +93,13 @@
         : m_rate(rate), m_random(seededRandom(seed))
     {
         for (std::size_t i = 0; i < routers; ++i) {
-            m_keepers.push_back(std::make_unique<ClaimKeeper>(
-                    ClaimKeeper::Options{.table = m_table,
-                                         .objects = m_objects,
-                                         .clock = m_clock,
-                                         .metrics = m_metrics,
-                                         .random = m_random,
-                                         .router = fmt::format("router-{}", i)}));
+            m_keepers.push_back(std::make_unique<ClaimManager>(
+                    ClaimManager::Options{.table = m_table,
+                                          .objects = m_objects,
+                                          .clock = m_clock,
+                                          .metrics = m_metrics,
+                                          .random = m_random,
+                                          .router = fmt::format("router-{}", i)}));
         }
     }
 
@@ -139,12 +139,12 @@
 private:
     void begin(TimePoint at)
     {
-        ClaimKeeper &keeper = *m_keepers[below(m_random, m_keepers.size())];
+        ClaimManager &keeper = *m_keepers[below(m_random, m_keepers.size())];
         keeper.claim({.workspace = "w",
                       .key = fmt::format("key-{}", m_nextKey++),
                       .fingerprint = "f",
                       .deadline = at + 10s},
-                     [this, at, &keeper](const Result<ClaimKeeper::Grant> &it) {
+                     [this, at, &keeper](const Result<ClaimManager::Grant> &it) {
                          if (!it)
                              return;
                          m_waits.push_back(toSeconds(m_clock.now() - at));
@@ -167,8 +167,8 @@
     Metrics m_metrics;
     DelayedTable m_table{m_clock};
     NoObjects m_objects;
-    std::vector<std::unique_ptr<ClaimKeeper>> m_keepers;
-    std::multimap<TimePoint, std::pair<ClaimKeeper *, ClaimPtr>> m_calls;
+    std::vector<std::unique_ptr<ClaimManager>> m_keepers;
+    std::multimap<TimePoint, std::pair<ClaimManager *, ClaimPtr>> m_calls;
     std::vector<double> m_waits;
     std::uint64_t m_nextKey = 0;
 };
--- a/bench/measure/EngineMeasure.cpp
+++ b/bench/measure/EngineMeasure.cpp
@@ -28,7 +28,7 @@
 constexpr double ReadingBytes = 450;
 
 /// \brief Engines that are in the wanted state and answer at once.
-class IdleEngines final : public EnginePort
+class IdleEngines final : public EngineClient
 {
 public:
     void readLoad(std::string, Callback<EngineLoad> done) override
@@ -46,7 +46,7 @@
         ++readings;
         done(EngineState{.model = "m", .version = "v1", .adapters = {}, .role = "serve"});
     }
-    void give(std::string, EngineOrder, Callback<OrderAnswer> done) override
+    void sendOrder(std::string, EngineOrder, Callback<OrderAnswer> done) override
     {
         done(OrderAnswer{.applied = true});
     }
@@ -55,7 +55,7 @@
     {
         done(outcome::success());
     }
-    void askWeights(std::string, std::string, Callback<void> done) override
+    void requestWeights(std::string, std::string, Callback<void> done) override
     {
         done(outcome::success());
     }
@@ -134,13 +134,13 @@
 Point digestBytes(int engines, std::uint64_t seed)
 {
     const ManualClock clock;
-    EngineKnowledge knowledge({.clock = clock});
+    EngineTracker tracker({.clock = clock});
     const RandomSource random = seededRandom(seed);
     const std::vector<std::string> names = namesOf("engine", engines);
-    knowledge.setOwned(names);
+    tracker.setOwned(names);
     for (const std::string &it : names)
-        knowledge.noteLoad(it, {.running = 32 * uniform(random), .asOf = clock.wallNow()});
-    const std::string text = EngineDigest::of(knowledge, names, 1.25).encode();
+        tracker.recordLoad(it, {.running = 32 * uniform(random), .asOf = clock.wallNow()});
+    const std::string text = EngineDigest::of(tracker, names, 1.25).encode();
     return {.size = double(engines), .cost = double(text.size())};
 }
 
@@ -152,8 +152,8 @@
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(routers));
     owners.setEngines(namesOf("engine", engines));
-    EngineKnowledge knowledge({.clock = clock});
-    EnginePoller poller({.clock = clock, .engines = port, .knowledge = knowledge});
+    EngineTracker tracker({.clock = clock});
+    EnginePoller poller({.clock = clock, .engines = port, .tracker = tracker});
     std::vector<EnginePoller::Engine> owned;
     for (const std::string &it : owners.owned())
         owned.push_back({.name = it, .address = it});
@@ -184,8 +184,8 @@
                     .engines = port,
                     .metrics = m_metrics,
                     .self = views[i].name,
-                    .isFirst = [it = m_owners.back().get()](std::uint64_t key) {
-                        return it->isFirst(key);
+                    .isPrimaryFor = [it = m_owners.back().get()](std::uint64_t key) {
+                        return it->isPrimaryFor(key);
                     }}));
             m_controllers.back()->setInventory(inventory);
         }
@@ -243,13 +243,14 @@
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(FullRouters));
     owners.setEngines(names);
-    OrderController controller({.clock = clock,
-                                .random = seededRandom(1),
-                                .table = table,
-                                .engines = port,
-                                .metrics = metrics,
-                                .self = "router-0",
-                                .isFirst = [&](std::uint64_t key) { return owners.isFirst(key); }});
+    OrderController controller(
+            {.clock = clock,
+             .random = seededRandom(1),
+             .table = table,
+             .engines = port,
+             .metrics = metrics,
+             .self = "router-0",
+             .isPrimaryFor = [&](std::uint64_t key) { return owners.isPrimaryFor(key); }});
     const double before = processorSeconds();
     for (int i = 0; i < Changes; ++i) {
         owners.setEngines(names);
--- a/bench/measure/PeerGroup.h
+++ b/bench/measure/PeerGroup.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/ManualClock.h"
-#include "Control/ConfigSpread.h"
+#include "Control/ConfigPropagator.h"
 #include "Control/Membership.h"
 #include "Control/PeerCodec.h"
 #include "Control/TrafficGovernor.h"
@@ -42,9 +42,9 @@
     {
         std::string address;
         std::unique_ptr<TrafficGovernor> governor;
-        std::unique_ptr<ConfigKeeper> config;
+        std::unique_ptr<ConfigManager> config;
         std::unique_ptr<Membership> membership;
-        std::unique_ptr<ConfigSpread> spread;
+        std::unique_ptr<ConfigPropagator> propagator;
         bool up = true;
         TimePoint wake = TimePoint::max();
         std::vector<std::uint64_t> applied; ///< Revisions in the order in which they took effect.
@@ -87,8 +87,8 @@
         it.up = true;
         it.governor = std::make_unique<TrafficGovernor>(TrafficGovernor::Options{
                 .clock = m_clock, .bytesPerSecond = m_options.bytesPerSecond});
-        it.spread.reset();
-        it.config = std::make_unique<ConfigKeeper>(ConfigKeeper::Options{
+        it.propagator.reset();
+        it.config = std::make_unique<ConfigManager>(ConfigManager::Options{
                 .table = m_table,
                 .objects = m_objects,
                 .clock = m_clock,
@@ -98,7 +98,7 @@
             it.applied.push_back(inventory->revision);
         });
         startMembership(i);
-        it.spread = std::make_unique<ConfigSpread>(ConfigSpread::Options{
+        it.propagator = std::make_unique<ConfigPropagator>(ConfigPropagator::Options{
                 .clock = m_clock,
                 .config = *it.config,
                 .membership = *it.membership,
@@ -117,7 +117,7 @@
     {
         PeerMessage all{.kind = PeerMessageKind::Sync, .from = "list"};
         for (const auto &it : m_nodes)
-            all.news.push_back(it->membership->self());
+            all.updates.push_back(it->membership->self());
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
             m_nodes[i]->membership->receive("nowhere", all);
             schedule(i);
@@ -205,10 +205,10 @@
     void schedule(std::size_t i)
     {
         Node &it = *m_nodes[i];
-        if (!it.membership || !it.spread)
+        if (!it.membership || !it.propagator)
             return;
         m_wakes.erase({it.wake, i});
-        it.wake = std::min(it.membership->nextDeadline(), it.spread->nextDeadline());
+        it.wake = std::min(it.membership->nextDeadline(), it.propagator->nextDeadline());
         m_wakes.insert({it.wake, i});
     }
 
@@ -246,14 +246,14 @@
             return;
         }
         it.membership->poll();
-        it.spread->poll();
+        it.propagator->poll();
         schedule(i);
     }
 
     std::size_t sizeOf(PeerMessage message)
     {
         const auto kind = static_cast<std::size_t>(message.kind);
-        const auto shape = std::make_pair(kind, message.news.size());
+        const auto shape = std::make_pair(kind, message.updates.size());
         Shape &known = m_shapes[shape];
         if (known.seen++ % static_cast<std::uint64_t>(m_options.encodeEvery) == 0) {
             message.sequence = 100'000;
@@ -277,7 +277,7 @@
             if (!it.up)
                 return;
             it.membership->receive(m_nodes[from]->address, message);
-            it.spread->receive(m_nodes[from]->address, message);
+            it.propagator->receive(m_nodes[from]->address, message);
             schedule(i);
         });
     }
@@ -287,11 +287,12 @@
         const std::size_t i = m_byAddress.at(to);
         if (!m_nodes[i]->up || (m_blocked && m_blocked(from, i)))
             return;
-        const PeerMessage answer = m_nodes[i]->spread->deltaSince(m_nodes[from]->config->digest());
+        const PeerMessage answer =
+                m_nodes[i]->propagator->deltaSince(m_nodes[from]->config->digest());
         m_nodes[i]->governor->countConnection(sizeOf(answer));
         later(2 * m_options.maxDelay, [this, from, answer] {
             if (m_nodes[from]->up)
-                m_nodes[from]->spread->applyDelta(answer);
+                m_nodes[from]->propagator->applyDelta(answer);
             schedule(from);
         });
     }
--- a/fuzz/FuzzEntry.cpp
+++ b/fuzz/FuzzEntry.cpp
@@ -1,9 +1,9 @@
 #include "Base/YamlSection.h"
-#include "Control/ConfigTexts.h"
+#include "Control/ConfigTextCache.h"
 #include "Control/PeerState.h"
 #include "Control/RegisteredRouter.h"
 #include "Control/ReplicaUpdate.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 #include "platform/ReplicaEntry.h"
 
 #include <cstdint>
@@ -17,14 +17,14 @@
 /// What was decoded must survive its own encoding.
 void roundTripBeat(const std::string &text)
 {
-    static BeatCodec codec;
-    const Result<RouterBeat> first = codec.decode(text);
+    static HeartbeatCodec codec;
+    const Result<RouterHeartbeat> first = codec.decode(text);
     if (!first)
         return;
-    const std::string again = BeatCodec::encode(first.value());
+    const std::string again = HeartbeatCodec::encode(first.value());
     (void)codec.unpack(text);
-    const Result<RouterBeat> second = codec.unpack(BeatCodec::pack(first.value()));
-    if (!second || BeatCodec::encode(second.value()) != again)
+    const Result<RouterHeartbeat> second = codec.unpack(HeartbeatCodec::pack(first.value()));
+    if (!second || HeartbeatCodec::encode(second.value()) != again)
         std::abort();
 }
 
@@ -52,7 +52,7 @@
     if (!state)
         return;
     if (state.value().config)
-        (void)ConfigTexts::textIn(state.value(), text);
+        (void)ConfigTextCache::unpackText(state.value(), text);
     if (state.value().replicas)
         (void)state.value().replicas->text();
     (void)ReplicaUpdate::decode(text);
--- a/src/Control/ConfigInForce.cpp
+++ b/src/Control/ActiveConfig.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 
 #include "Base/Log.h"
 
@@ -6,7 +6,7 @@
 
 namespace catkinloft {
 
-bool ConfigInForce::accept(RouteConfigPtr config, TimePoint readBegan)
+bool ActiveConfig::accept(RouteConfigPtr config, TimePoint readStartedAt)
 {
     if (m_config && config->revision < m_config->revision) {
         Log::warning("older_config_ignored",
@@ -15,7 +15,7 @@
     }
     if (!m_config || config->revision > m_config->revision) {
         m_config = std::move(config);
-        m_provenAt = readBegan;
+        m_provenAt = readStartedAt;
         Log::info("config_in_force",
                   {{"revision", m_config->revision},
                    {"routes", m_config->routes.size()},
@@ -24,17 +24,17 @@
         m_changed.emit(m_config);
         return true;
     }
-    confirm(config->revision, readBegan);
+    confirm(config->revision, readStartedAt);
     return true;
 }
 
-void ConfigInForce::confirm(std::uint64_t revision, TimePoint readBegan)
+void ActiveConfig::confirm(std::uint64_t revision, TimePoint readStartedAt)
 {
     if (m_config && m_config->revision == revision)
-        m_provenAt = std::max(m_provenAt, readBegan);
+        m_provenAt = std::max(m_provenAt, readStartedAt);
 }
 
-Duration ConfigInForce::proofAge() const
+Duration ActiveConfig::proofAge() const
 {
     // "Never" is the least TimePoint: its age would overflow.
     return m_provenAt == TimePoint::min() ? Duration::max() : m_clock.now() - m_provenAt;
--- a/src/Control/ConfigInForce.h
+++ b/src/Control/ActiveConfig.h
@@ -15,17 +15,17 @@
 /// router that is cut off: serving a key needs a proof that is young enough. The proof is a read of
 /// the store, dated by when it began, since its answer may be delayed at will. The clock has to
 /// count the time for which a VM is suspended.
-class ConfigInForce
+class ActiveConfig
 {
 public:
-    explicit ConfigInForce(const Clock &clock) : m_clock(clock) { }
+    explicit ActiveConfig(const Clock &clock) : m_clock(clock) { }
 
-    /// \brief Takes over \a config, read from the store by a call that began at \a readBegan.
+    /// \brief Takes over \a config, read from the store by a call that began at \a readStartedAt.
     /// \returns false where a newer one is in force, which stays.
-    bool accept(RouteConfigPtr config, TimePoint readBegan);
+    bool accept(RouteConfigPtr config, TimePoint readStartedAt);
 
-    /// \brief Notes that at \a readBegan no revision newer than \a revision existed.
-    void confirm(std::uint64_t revision, TimePoint readBegan);
+    /// \brief Notes that at \a readStartedAt no revision newer than \a revision existed.
+    void confirm(std::uint64_t revision, TimePoint readStartedAt);
 
     /// \returns the revision in force; null before the first.
     const RouteConfigPtr &config() const { return m_config; }
--- a/src/Control/ConfigKeeper.cpp
+++ b/src/Control/ConfigManager.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigKeeper.h"
+#include "Control/ConfigManager.h"
 
 #include "Base/Hash.h"
 #include "Base/Log.h"
@@ -12,15 +12,15 @@
 
 /// How long a router that reads a higher head waits for a peer to bring the change. At full size
 /// the body is over a megabyte and a peer's delta a few hundred bytes.
-constexpr Duration PeersFirst = std::chrono::seconds(2);
+constexpr Duration PeerDeltaWait = std::chrono::seconds(2);
 
 /// Reads of whether a commit with a lost answer took effect, and the pause before the first; each
 /// further one is twice as long. Together 6 s: an operator waits no longer for an unknown result.
-constexpr int MaxSettling = 5;
-constexpr Duration SettlePause = std::chrono::milliseconds(200);
+constexpr int MaxResolveAttempts = 5;
+constexpr Duration ResolvePause = std::chrono::milliseconds(200);
 
 /// Accepted changes kept in the table, two days' worth at 25,000 a day, so that it stays bounded.
-constexpr std::uint64_t KeptHistory = 50'000;
+constexpr std::uint64_t MaxHistory = 50'000;
 
 constexpr std::size_t MaxDiffLines = 20;
 
@@ -32,7 +32,7 @@
     return out;
 }
 
-Error storeDown(const Error &error, Verdict verdict)
+Error storeUnavailable(const Error &error, Verdict verdict)
 {
     return {.reason = Reason::StoreDown,
             .verdict = verdict,
@@ -42,48 +42,51 @@
 
 } // namespace
 
-ConfigKeeper::ConfigKeeper(Options options) : m_options(std::move(options)) { }
+ConfigManager::ConfigManager(Options options) : m_options(std::move(options)) { }
 
-void ConfigKeeper::refresh()
+void ConfigManager::refresh()
 {
-    const std::uint64_t inForce = m_digest.revision;
-    m_options.table.read({config_rows::Head}, [this, inForce](Result<std::vector<TableRow>> rows) {
-        if (!rows)
-            return;
-        m_lastConfirmed = m_options.clock.now();
-        const TableRow *row = config_rows::find(rows.value(), config_rows::Head);
-        const auto head = row ? config_rows::decode(row->value) : std::nullopt;
-        const std::uint64_t revision = head ? head->digest.revision : 0;
-        if (revision < inForce)
-            Log::warning("config_head_behind", {{"head", revision}, {"in_force", inForce}});
-        else if (head && revision == m_digest.revision && head->digest.hash != m_digest.hash)
-            Log::error("config_chain_broken", {{"revision", revision}});
-        else if (head && revision > m_digest.revision && revision > m_fetching)
-            fetchHead(*head);
-    });
+    const std::uint64_t activeRevision = m_digest.revision;
+    m_options.table.read(
+            {config_rows::Head}, [this, activeRevision](Result<std::vector<TableRow>> rows) {
+                if (!rows)
+                    return;
+                m_lastConfirmed = m_options.clock.now();
+                const TableRow *row = config_rows::find(rows.value(), config_rows::Head);
+                const auto head = row ? config_rows::decode(row->value) : std::nullopt;
+                const std::uint64_t revision = head ? head->digest.revision : 0;
+                if (revision < activeRevision)
+                    Log::warning("config_head_behind",
+                                 {{"head", revision}, {"in_force", activeRevision}});
+                else if (head && revision == m_digest.revision
+                         && head->digest.hash != m_digest.hash)
+                    Log::error("config_chain_broken", {{"revision", revision}});
+                else if (head && revision > m_digest.revision && revision > m_fetchingRevision)
+                    fetchBody(*head);
+            });
 }
 
-void ConfigKeeper::fetchHead(const ConfigRecord &head)
+void ConfigManager::fetchBody(const ConfigRecord &head)
 {
-    m_fetching = head.digest.revision;
+    m_fetchingRevision = head.digest.revision;
     const auto fetch = [this, head] {
         if (m_digest.revision >= head.digest.revision) {
-            m_fetching = 0;
+            m_fetchingRevision = 0;
             return;
         }
         m_options.objects.get(head.object, [this, head](Result<std::optional<std::string>> body) {
-            m_fetching = 0;
+            m_fetchingRevision = 0;
             if (body && body.value())
-                takeOver(head.digest, *body.value());
+                activate(head.digest, *body.value());
         });
     };
     if (m_current)
-        m_options.after(PeersFirst, fetch);
+        m_options.after(PeerDeltaWait, fetch);
     else
         fetch();
 }
 
-bool ConfigKeeper::takeOver(const ConfigDigest &digest, const std::string &text)
+bool ConfigManager::activate(const ConfigDigest &digest, const std::string &text)
 {
     // The rule that an accepted configuration never reverts rests on this comparison alone:
     // whoever brings an older text, be it a peer, the store or a late answer, is refused.
@@ -100,7 +103,7 @@
                    {{"revision", digest.revision}, {"problems", problemsText(problems)}});
         return false;
     }
-    m_replacing.emit(text);
+    m_aboutToChange.emit(text);
     m_current = std::move(next);
     m_text = text;
     m_digest = digest;
@@ -109,7 +112,7 @@
     return true;
 }
 
-void ConfigKeeper::propose(ConfigChange change, std::function<void(Result<std::uint64_t>)> done)
+void ConfigManager::propose(ConfigChange change, std::function<void(Result<std::uint64_t>)> done)
 {
     YamlProblems problems;
     if (!m_parser.parse(change.text, "inventory", change.base + 1, problems)) {
@@ -131,41 +134,41 @@
     it->change = std::move(change);
     it->done = std::move(done);
     std::vector<std::string> keys{config_rows::Head, config_rows::changeKey(it->change.changeId)};
-    if (revision > KeptHistory)
-        keys.push_back(config_rows::historyKey(revision - KeptHistory));
-    it->inForce = m_digest.revision;
+    if (revision > MaxHistory)
+        keys.push_back(config_rows::historyKey(revision - MaxHistory));
+    it->activeRevision = m_digest.revision;
     m_options.table.read(std::move(keys), [this, it](Result<std::vector<TableRow>> rows) {
         if (rows)
-            decide(it, rows.value());
+            checkHead(it, rows.value());
         else
-            it->done(storeDown(rows.error(), Verdict::NotRun));
+            it->done(storeUnavailable(rows.error(), Verdict::NotRun));
     });
 }
 
-void ConfigKeeper::decide(const ProposalPtr &it, const std::vector<TableRow> &rows)
+void ConfigManager::checkHead(const ProposalPtr &it, const std::vector<TableRow> &rows)
 {
-    if (answerRepeated(it, rows))
+    if (answerDuplicate(it, rows))
         return;
     const TableRow *row = config_rows::find(rows, config_rows::Head);
     const ConfigRecord head =
             (row ? config_rows::decode(row->value) : std::nullopt).value_or(ConfigRecord{});
-    if (head.digest.revision < it->inForce) {
+    if (head.digest.revision < it->activeRevision) {
         // A table restored from a copy: a new revision above its head would be applied nowhere. A
         // revision that a peer brought while the answer was on its way proves nothing: that answer
         // is only old, and the commit below will find out.
         it->done(Error{.reason = Reason::StoreDown,
                        .detail = fmt::format("the table service shows revision {}, but {} is in "
                                              "force",
-                                             head.digest.revision, it->inForce)});
+                                             head.digest.revision, it->activeRevision)});
         return;
     }
     if (head.digest.revision != it->change.base) {
-        lose(it, head);
+        reportConflict(it, head);
         return;
     }
-    if (it->record.digest.revision > KeptHistory) {
+    if (it->record.digest.revision > MaxHistory) {
         const TableRow *old = config_rows::find(
-                rows, config_rows::historyKey(it->record.digest.revision - KeptHistory));
+                rows, config_rows::historyKey(it->record.digest.revision - MaxHistory));
         if (const auto record = old ? config_rows::decode(old->value) : std::nullopt)
             it->expiredChangeId = record->changeId;
     }
@@ -173,7 +176,7 @@
     store(it);
 }
 
-bool ConfigKeeper::answerRepeated(const ProposalPtr &it, const std::vector<TableRow> &rows)
+bool ConfigManager::answerDuplicate(const ProposalPtr &it, const std::vector<TableRow> &rows)
 {
     const TableRow *row = config_rows::find(rows, config_rows::changeKey(it->change.changeId));
     const auto first = row ? config_rows::decode(row->value) : std::nullopt;
@@ -188,9 +191,9 @@
     return true;
 }
 
-void ConfigKeeper::lose(const ProposalPtr &it, const ConfigRecord &head)
+void ConfigManager::reportConflict(const ProposalPtr &it, const ConfigRecord &head)
 {
-    const auto tell = [it, head](const std::string &differs) {
+    const auto report = [it, head](const std::string &differs) {
         it->done(Error{.reason = Reason::ConfigConflict,
                        .detail = fmt::format("made against revision {}, but {} of {} is in force; "
                                              "it differs by:\n{}",
@@ -199,23 +202,23 @@
                        .figures = {{"base_revision", static_cast<double>(it->change.base)},
                                    {"revision", static_cast<double>(head.digest.revision)}}});
     };
-    m_options.objects.get(head.object, [it, tell](Result<std::optional<std::string>> body) {
-        tell(body && body.value() ? describeDelta(*body.value(), it->change.text, MaxDiffLines)
-                                  : "(its text can not be read now)\n");
+    m_options.objects.get(head.object, [it, report](Result<std::optional<std::string>> body) {
+        report(body && body.value() ? describeDelta(*body.value(), it->change.text, MaxDiffLines)
+                                    : "(its text can not be read now)\n");
     });
 }
 
-void ConfigKeeper::store(const ProposalPtr &it)
+void ConfigManager::store(const ProposalPtr &it)
 {
     m_options.objects.put(it->record.object, it->change.text, [this, it](Result<void> stored) {
         if (stored)
             commit(it);
         else
-            it->done(storeDown(stored.error(), Verdict::NotRun));
+            it->done(storeUnavailable(stored.error(), Verdict::NotRun));
     });
 }
 
-void ConfigKeeper::commit(const ProposalPtr &it)
+void ConfigManager::commit(const ProposalPtr &it)
 {
     const std::string value = config_rows::encode(it->record);
     const std::string changeKey = config_rows::changeKey(it->change.changeId);
@@ -228,27 +231,27 @@
                        {.key = config_rows::historyKey(revision), .value = value}}};
     if (!it->expiredChangeId.empty()) {
         transaction.writes.push_back(
-                {.key = config_rows::historyKey(revision - KeptHistory), .value = {}});
+                {.key = config_rows::historyKey(revision - MaxHistory), .value = {}});
         transaction.writes.push_back(
                 {.key = config_rows::changeKey(it->expiredChangeId), .value = {}});
     }
     m_options.table.commit(std::move(transaction), [this, it](Result<TableCommit> answer) {
         if (!answer && answer.error().verdict == Verdict::NotRun)
-            it->done(storeDown(answer.error(), Verdict::NotRun));
+            it->done(storeUnavailable(answer.error(), Verdict::NotRun));
         else if (answer && answer.value().committed)
             accept(it);
         else
-            settle(it);
+            resolveOutcome(it);
     });
 }
 
-void ConfigKeeper::settle(const ProposalPtr &it)
+void ConfigManager::resolveOutcome(const ProposalPtr &it)
 {
     m_options.table.read(
             {config_rows::Head, config_rows::changeKey(it->change.changeId)},
             [this, it](Result<std::vector<TableRow>> rows) {
                 if (!rows) {
-                    settleLater(it);
+                    resolveOutcomeLater(it);
                     return;
                 }
                 const TableRow *row = config_rows::find(rows.value(), config_rows::Head);
@@ -257,20 +260,20 @@
                     if (head && head->changeId == it->change.changeId)
                         accept(it);
                     else
-                        answerRepeated(it, rows.value());
+                        answerDuplicate(it, rows.value());
                 } else if (head && head->digest.revision > it->change.base) {
-                    lose(it, *head);
+                    reportConflict(it, *head);
                 } else {
                     // The write may still be on its way: only another one in its place, or time,
                     // shows that it did not take effect.
-                    settleLater(it);
+                    resolveOutcomeLater(it);
                 }
             });
 }
 
-void ConfigKeeper::settleLater(const ProposalPtr &it)
+void ConfigManager::resolveOutcomeLater(const ProposalPtr &it)
 {
-    if (++it->settling > MaxSettling) {
+    if (++it->resolveAttempts > MaxResolveAttempts) {
         it->done(Error{.reason = Reason::StoreDown,
                        .verdict = Verdict::MayHaveRun,
                        .detail = "the table service does not tell whether the change was accepted; "
@@ -279,23 +282,24 @@
                        .retryAfter = std::chrono::seconds(5)});
         return;
     }
-    m_options.after(SettlePause * (1 << (it->settling - 1)), [this, it] { settle(it); });
+    m_options.after(ResolvePause * (1 << (it->resolveAttempts - 1)),
+                    [this, it] { resolveOutcome(it); });
 }
 
-void ConfigKeeper::accept(const ProposalPtr &it)
+void ConfigManager::accept(const ProposalPtr &it)
 {
     m_lastConfirmed = m_options.clock.now();
-    takeOver(it->record.digest, it->change.text);
+    activate(it->record.digest, it->change.text);
     it->done(it->record.digest.revision);
 }
 
-void ConfigKeeper::rollBack(std::uint64_t revision, ConfigChange change,
-                            std::function<void(Result<std::uint64_t>)> done)
+void ConfigManager::rollBack(std::uint64_t revision, ConfigChange change,
+                             std::function<void(Result<std::uint64_t>)> done)
 {
     const std::string key = config_rows::historyKey(revision);
     m_options.table.read({key}, [this, key, change, done](Result<std::vector<TableRow>> rows) {
         if (!rows) {
-            done(storeDown(rows.error(), Verdict::NotRun));
+            done(storeUnavailable(rows.error(), Verdict::NotRun));
             return;
         }
         const TableRow *row = config_rows::find(rows.value(), key);
@@ -318,13 +322,13 @@
     });
 }
 
-void ConfigKeeper::history(std::size_t limit,
-                           std::function<void(Result<std::vector<ConfigRecord>>)> done)
+void ConfigManager::history(std::size_t limit,
+                            std::function<void(Result<std::vector<ConfigRecord>>)> done)
 {
     m_options.table.scan(config_rows::HistoryPrefix, limit,
                          [done](Result<std::vector<TableRow>> rows) {
                              if (!rows) {
-                                 done(storeDown(rows.error(), Verdict::NotRun));
+                                 done(storeUnavailable(rows.error(), Verdict::NotRun));
                                  return;
                              }
                              std::vector<ConfigRecord> out;
--- a/src/Control/ConfigKeeper.h
+++ b/src/Control/ConfigManager.h
@@ -33,7 +33,7 @@
 ///
 /// Load: 25,000 changes a day, from operators who race each other, at a store that can be away and
 /// whose answers can get lost.
-class ConfigKeeper
+class ConfigManager
 {
 public:
     struct Options
@@ -45,7 +45,7 @@
         std::function<void(Duration, std::function<void()>)> after; ///< Runs something later.
     };
 
-    explicit ConfigKeeper(Options options);
+    explicit ConfigManager(Options options);
 
     /// \returns the inventory in force; nullptr before the first one.
     InventoryPtr current() const { return m_current; }
@@ -64,7 +64,7 @@
 
     /// \brief Takes over a body that a peer holds as \a digest, if it is higher and whole.
     /// \returns whether it is in force now.
-    bool takeOver(const ConfigDigest &digest, const std::string &text);
+    bool activate(const ConfigDigest &digest, const std::string &text);
 
     /// \brief Checks and commits \a change; \a done gets the new revision.
     ///
@@ -83,29 +83,29 @@
     sigc::signal<void(InventoryPtr)> &changed() { return m_changed; }
 
     /// \brief Emitted before that, with the text in force until now.
-    sigc::signal<void(const std::string &)> &replacing() { return m_replacing; }
+    sigc::signal<void(const std::string &)> &aboutToChange() { return m_aboutToChange; }
 
 private:
     struct Proposal
     {
         ConfigChange change;
         ConfigRecord record;
-        std::uint64_t inForce = 0; ///< Revision in force here when the head was asked for.
+        std::uint64_t activeRevision = 0; ///< Revision in force here when the head was asked for.
         std::uint64_t headVersion = 0;
         std::string expiredChangeId; ///< Of the history row that this change pushes out.
-        int settling = 0; ///< Reads so far of whether the commit took effect.
+        int resolveAttempts = 0; ///< Reads so far of whether the commit took effect.
         std::function<void(Result<std::uint64_t>)> done;
     };
     using ProposalPtr = std::shared_ptr<Proposal>;
 
-    void fetchHead(const ConfigRecord &head);
-    void decide(const ProposalPtr &it, const std::vector<TableRow> &rows);
-    bool answerRepeated(const ProposalPtr &it, const std::vector<TableRow> &rows);
-    void lose(const ProposalPtr &it, const ConfigRecord &head);
+    void fetchBody(const ConfigRecord &head);
+    void checkHead(const ProposalPtr &it, const std::vector<TableRow> &rows);
+    bool answerDuplicate(const ProposalPtr &it, const std::vector<TableRow> &rows);
+    void reportConflict(const ProposalPtr &it, const ConfigRecord &head);
     void store(const ProposalPtr &it);
     void commit(const ProposalPtr &it);
-    void settle(const ProposalPtr &it);
-    void settleLater(const ProposalPtr &it);
+    void resolveOutcome(const ProposalPtr &it);
+    void resolveOutcomeLater(const ProposalPtr &it);
     void accept(const ProposalPtr &it);
 
     Options m_options;
@@ -113,10 +113,10 @@
     InventoryPtr m_current;
     std::string m_text;
     ConfigDigest m_digest;
-    std::uint64_t m_fetching = 0; ///< Revision whose body is being fetched.
+    std::uint64_t m_fetchingRevision = 0; ///< Revision whose body is being fetched.
     TimePoint m_lastConfirmed = TimePoint::min();
     sigc::signal<void(InventoryPtr)> m_changed;
-    sigc::signal<void(const std::string &)> m_replacing;
+    sigc::signal<void(const std::string &)> m_aboutToChange;
 };
 
 } // namespace catkinloft
--- a/src/Control/ConfigSpread.cpp
+++ b/src/Control/ConfigPropagator.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigSpread.h"
+#include "Control/ConfigPropagator.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 /// Changes remembered, four minutes' worth at 25,000 a day: a router that was cut off for longer
 /// reads the whole text once.
-constexpr std::size_t MaxSteps = 64;
+constexpr std::size_t MaxRecentChanges = 64;
 
 /// Text of a delta in one datagram; the rest of the 1,200 bytes is for names, digests, the MAC and
 /// JSON's escapes.
@@ -21,14 +21,14 @@
 /// fails, so that a dozen quick ones within the 4 s that a change may take all but never do; with
 /// a pause that doubled from the start, one change in seven took longer on some of nine routers.
 constexpr Duration AnswerTimeout = std::chrono::milliseconds(250);
-constexpr int QuickTries = 12;
+constexpr int QuickAttempts = 12;
 
 /// After those the pause doubles, so that a revision that nobody can give costs little.
 constexpr int MaxDoublings = 5;
 
-Duration pauseAfter(int tries)
+Duration answerTimeoutAfter(int attempts)
 {
-    return AnswerTimeout * (1 << std::clamp(tries - QuickTries, 0, MaxDoublings));
+    return AnswerTimeout * (1 << std::clamp(attempts - QuickAttempts, 0, MaxDoublings));
 }
 
 std::size_t sizeOf(const TextDelta &delta)
@@ -39,19 +39,20 @@
     return out;
 }
 
-bool same(const ConfigDigest &a, const ConfigDigest &b)
+bool sameDigest(const ConfigDigest &a, const ConfigDigest &b)
 {
     return a.revision == b.revision && a.hash == b.hash;
 }
 
 } // namespace
 
-ConfigSpread::ConfigSpread(Options options) : m_options(std::move(options))
+ConfigPropagator::ConfigPropagator(Options options) : m_options(std::move(options))
 {
-    m_options.config.replacing().connect([this](const std::string &next) { noteStep(next); });
+    m_options.config.aboutToChange().connect(
+            [this](const std::string &next) { recordChange(next); });
     m_options.config.changed().connect([this](const InventoryPtr &) {
-        if (!m_steps.empty() && m_before.revision != 0)
-            m_steps.back().to = m_options.config.digest();
+        if (!m_recentChanges.empty() && m_previousDigest.revision != 0)
+            m_recentChanges.back().to = m_options.config.digest();
         m_options.membership.gossip();
     });
     m_options.membership.changed().connect([this](const Member &it) {
@@ -60,20 +61,20 @@
     });
 }
 
-void ConfigSpread::noteStep(const std::string &next)
+void ConfigPropagator::recordChange(const std::string &next)
 {
-    m_before = m_options.config.digest();
-    if (m_before.revision == 0)
+    m_previousDigest = m_options.config.digest();
+    if (m_previousDigest.revision == 0)
         return;
-    TextDelta delta =
-            m_hasArriving ? std::move(m_arriving) : makeTextDelta(m_options.config.text(), next);
-    m_hasArriving = false;
-    m_steps.push_back({.from = m_before, .to = {}, .delta = std::move(delta)});
-    if (m_steps.size() > MaxSteps)
-        m_steps.pop_front();
+    TextDelta delta = m_hasReceivedDelta ? std::move(m_receivedDelta)
+                                         : makeTextDelta(m_options.config.text(), next);
+    m_hasReceivedDelta = false;
+    m_recentChanges.push_back({.from = m_previousDigest, .to = {}, .delta = std::move(delta)});
+    if (m_recentChanges.size() > MaxRecentChanges)
+        m_recentChanges.pop_front();
 }
 
-void ConfigSpread::receive(const std::string &address, const PeerMessage &message)
+void ConfigPropagator::receive(const std::string &address, const PeerMessage &message)
 {
     std::uint64_t &held = m_holders[message.from];
     held = std::max(held, message.digest.revision);
@@ -91,11 +92,11 @@
         break;
     default:
         if (message.digest.revision > mine) {
-            const bool isNews = message.digest.revision > m_wanted;
-            m_wanted = std::max(m_wanted, message.digest.revision);
-            m_wantedFrom = address;
-            m_asked = isNews ? 0 : m_asked;
-            if (isNews || m_options.clock.now() >= m_askAgain)
+            const bool isNewer = message.digest.revision > m_newestKnown;
+            m_newestKnown = std::max(m_newestKnown, message.digest.revision);
+            m_newestKnownFrom = address;
+            m_unansweredRequests = isNewer ? 0 : m_unansweredRequests;
+            if (isNewer || m_options.clock.now() >= m_nextRequestAt)
                 request(address);
         }
         break;
@@ -103,13 +104,13 @@
     checkWaiters();
 }
 
-void ConfigSpread::request(const std::string &address)
+void ConfigPropagator::request(const std::string &address)
 {
-    m_askAgain = m_options.clock.now() + pauseAfter(m_asked++);
+    m_nextRequestAt = m_options.clock.now() + answerTimeoutAfter(m_unansweredRequests++);
     m_options.send(address, m_options.membership.compose(PeerMessageKind::ConfigRequest, {}));
 }
 
-void ConfigSpread::answer(const std::string &address, const PeerMessage &message)
+void ConfigPropagator::answer(const std::string &address, const PeerMessage &message)
 {
     if (message.digest.revision >= m_options.config.digest().revision)
         return;
@@ -124,12 +125,12 @@
     m_options.send(address, std::move(out));
 }
 
-PeerMessage ConfigSpread::deltaSince(const ConfigDigest &base) const
+PeerMessage ConfigPropagator::deltaSince(const ConfigDigest &base) const
 {
     PeerMessage out = m_options.membership.compose(PeerMessageKind::ConfigDelta, {});
-    const auto first = std::find_if(m_steps.begin(), m_steps.end(),
-                                    [&](const Step &it) { return same(it.from, base); });
-    if (first == m_steps.end() || base.revision == 0) {
+    const auto first = std::find_if(m_recentChanges.begin(), m_recentChanges.end(),
+                                    [&](const Change &it) { return sameDigest(it.from, base); });
+    if (first == m_recentChanges.end() || base.revision == 0) {
         out.delta = {{.at = 0, .removed = 0, .inserted = m_options.config.text()}};
         return out;
     }
@@ -139,48 +140,50 @@
     return out;
 }
 
-void ConfigSpread::applyDelta(const PeerMessage &message)
+void ConfigPropagator::applyDelta(const PeerMessage &message)
 {
     const ConfigDigest mine = m_options.config.digest();
     if (message.digest.revision <= mine.revision)
         return;
     const bool isWhole = message.base.revision == 0;
-    if (!isWhole && !same(message.base, mine))
+    if (!isWhole && !sameDigest(message.base, mine))
         return;
     const Result<std::string> text =
             applyTextDelta(isWhole ? std::string_view() : m_options.config.text(), message.delta);
     if (!text)
         return;
-    m_hasArriving = !isWhole;
-    m_arriving = message.delta;
-    m_options.config.takeOver(message.digest, text.value());
-    m_hasArriving = false;
-    m_asked = 0;
-    if (m_options.config.digest().revision < m_wanted)
-        request(m_wantedFrom);
+    m_hasReceivedDelta = !isWhole;
+    m_receivedDelta = message.delta;
+    m_options.config.activate(message.digest, text.value());
+    m_hasReceivedDelta = false;
+    m_unansweredRequests = 0;
+    if (m_options.config.digest().revision < m_newestKnown)
+        request(m_newestKnownFrom);
 }
 
-void ConfigSpread::poll()
+void ConfigPropagator::poll()
 {
     const TimePoint now = m_options.clock.now();
-    if (m_wanted > m_options.config.digest().revision && now >= m_askAgain) {
+    if (m_newestKnown > m_options.config.digest().revision && now >= m_nextRequestAt) {
         // Every second time another peer: the one that told may be gone.
-        const std::string other =
-                m_asked % 2 == 0 ? std::string() : m_options.membership.randomAddress();
-        request(other.empty() ? m_wantedFrom : other);
+        const std::string other = m_unansweredRequests % 2 == 0
+                ? std::string()
+                : m_options.membership.randomAddress();
+        request(other.empty() ? m_newestKnownFrom : other);
     }
     checkWaiters();
 }
 
-TimePoint ConfigSpread::nextDeadline() const
+TimePoint ConfigPropagator::nextDeadline() const
 {
-    TimePoint out = m_wanted > m_options.config.digest().revision ? m_askAgain : TimePoint::max();
+    TimePoint out =
+            m_newestKnown > m_options.config.digest().revision ? m_nextRequestAt : TimePoint::max();
     for (const Waiter &it : m_waiters)
         out = std::min(out, it.deadline);
     return out;
 }
 
-std::size_t ConfigSpread::holders(std::uint64_t revision) const
+std::size_t ConfigPropagator::countHolders(std::uint64_t revision) const
 {
     return static_cast<std::size_t>(
             std::count_if(m_holders.begin(), m_holders.end(), [&](const auto &it) {
@@ -190,14 +193,14 @@
             }));
 }
 
-std::uint64_t ConfigSpread::revisionOf(std::string_view name) const
+std::uint64_t ConfigPropagator::revisionOf(std::string_view name) const
 {
     const auto it = m_holders.find(name);
     return it == m_holders.end() ? 0 : it->second;
 }
 
-void ConfigSpread::awaitHolders(std::uint64_t revision, std::size_t wanted, TimePoint deadline,
-                                std::function<void(std::size_t)> done)
+void ConfigPropagator::awaitHolders(std::uint64_t revision, std::size_t wanted, TimePoint deadline,
+                                    std::function<void(std::size_t)> done)
 {
     m_waiters.push_back({.revision = revision,
                          .wanted = wanted,
@@ -206,12 +209,12 @@
     checkWaiters();
 }
 
-void ConfigSpread::checkWaiters()
+void ConfigPropagator::checkWaiters()
 {
     const TimePoint now = m_options.clock.now();
     for (std::size_t i = 0; i < m_waiters.size();) {
         const Waiter &it = m_waiters[i];
-        const std::size_t n = holders(it.revision);
+        const std::size_t n = countHolders(it.revision);
         if (n < it.wanted && now < it.deadline) {
             ++i;
             continue;
--- a/src/Control/ConfigSpread.h
+++ b/src/Control/ConfigPropagator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Clock.h"
-#include "Control/ConfigKeeper.h"
+#include "Control/ConfigManager.h"
 #include "Control/Membership.h"
 
 #include <cstdint>
@@ -20,20 +20,20 @@
 /// Load: 25,000 changes a day at 890 routers. If each read each body from the object store, that
 /// were 257 reads a second of over a megabyte; a delta of a few hundred bytes from a peer costs
 /// about 1 KB a change and router.
-class ConfigSpread
+class ConfigPropagator
 {
 public:
     struct Options
     {
         const Clock &clock;
-        ConfigKeeper &config;
+        ConfigManager &config;
         Membership &membership;
         std::function<void(const std::string &address, PeerMessage)> send;
         /// Asks a peer over TCP for what a datagram can not hold.
         std::function<void(const std::string &address, const ConfigDigest &base)> fetchLarge = {};
     };
 
-    explicit ConfigSpread(Options options);
+    explicit ConfigPropagator(Options options);
 
     /// \brief Handles a message that Membership::receive() was given too.
     void receive(const std::string &address, const PeerMessage &message);
@@ -52,7 +52,7 @@
     void applyDelta(const PeerMessage &message);
 
     /// \returns how many other routers were heard to hold \a revision or a higher one.
-    std::size_t holders(std::uint64_t revision) const;
+    std::size_t countHolders(std::uint64_t revision) const;
 
     /// \returns the revision that router \a name was last heard to hold; 0 where none was heard.
     std::uint64_t revisionOf(std::string_view name) const;
@@ -63,7 +63,7 @@
                       std::function<void(std::size_t)> done);
 
 private:
-    struct Step
+    struct Change
     {
         ConfigDigest from;
         ConfigDigest to;
@@ -77,21 +77,21 @@
         std::function<void(std::size_t)> done;
     };
 
-    void noteStep(const std::string &next);
+    void recordChange(const std::string &next);
     void request(const std::string &address);
     void answer(const std::string &address, const PeerMessage &message);
     void checkWaiters();
 
     Options m_options;
-    std::deque<Step> m_steps; ///< The last changes, oldest first.
-    TextDelta
-            m_arriving; ///< The delta that the next text is made of, so that it is not made twice.
-    bool m_hasArriving = false;
-    ConfigDigest m_before;
-    std::uint64_t m_wanted = 0; ///< Highest revision heard of.
-    std::string m_wantedFrom;
-    int m_asked = 0; ///< Requests since the last one that was answered.
-    TimePoint m_askAgain = TimePoint::min();
+    std::deque<Change> m_recentChanges; ///< The last changes, oldest first.
+    TextDelta m_receivedDelta; ///< The delta that the next text is made of, so that it is not made
+                               ///< twice.
+    bool m_hasReceivedDelta = false;
+    ConfigDigest m_previousDigest;
+    std::uint64_t m_newestKnown = 0; ///< Highest revision heard of.
+    std::string m_newestKnownFrom;
+    int m_unansweredRequests = 0; ///< Requests since the last one that was answered.
+    TimePoint m_nextRequestAt = TimePoint::min();
     std::map<std::string, std::uint64_t, std::less<>> m_holders;
     std::vector<Waiter> m_waiters;
 };
--- a/src/Control/ConfigTexts.cpp
+++ b/src/Control/ConfigTextCache.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigTexts.h"
+#include "Control/ConfigTextCache.h"
 
 #include "Base/Json.h"
 #include "Control/TextDelta.h"
@@ -13,7 +13,7 @@
 constexpr std::size_t MaxTexts = 16;
 
 /// Bytes of all texts that are kept besides the newest. The weakest VMs have 160 MB.
-constexpr std::size_t MaxKeptBytes = 2 * 1024 * 1024;
+constexpr std::size_t MaxOldTextBytes = 2 * 1024 * 1024;
 
 /// The text is JSON without line feeds; this ends an object in it.
 constexpr char Separator = '}';
@@ -51,27 +51,27 @@
 
 } // namespace
 
-void ConfigTexts::add(std::uint64_t revision, const std::string &text)
+void ConfigTextCache::add(std::uint64_t revision, const std::string &text)
 {
     if (!m_entries.empty() && m_entries.back().revision >= revision)
         return;
     m_entries.push_back({revision, text});
     m_packed.clear();
-    forgetOld();
+    removeOld();
 }
 
-void ConfigTexts::forgetOld()
+void ConfigTextCache::removeOld()
 {
     std::size_t bytes = 0;
     for (std::size_t i = 0; i + 1 < m_entries.size(); ++i)
         bytes += m_entries[i].text.size();
-    while (m_entries.size() > 1 && (m_entries.size() > MaxTexts || bytes > MaxKeptBytes)) {
+    while (m_entries.size() > 1 && (m_entries.size() > MaxTexts || bytes > MaxOldTextBytes)) {
         bytes -= m_entries.front().text.size();
         m_entries.pop_front();
     }
 }
 
-void ConfigTexts::describe(std::uint64_t known, PeerState &out)
+void ConfigTextCache::describe(std::uint64_t known, PeerState &out)
 {
     if (m_entries.empty() || m_entries.back().revision <= known)
         return;
@@ -89,7 +89,7 @@
     m_packed.emplace(out.configBase, *out.config);
 }
 
-Result<std::string> ConfigTexts::textIn(const PeerState &state, std::string_view known)
+Result<std::string> ConfigTextCache::unpackText(const PeerState &state, std::string_view known)
 {
     Result<std::string> text = state.config->text();
     if (!text || state.configBase == 0)
--- a/src/Control/ConfigTexts.h
+++ b/src/Control/ConfigTextCache.h
@@ -17,7 +17,7 @@
 /// Load: an operator that changes one route of a thousand again and again, before hundreds of
 /// routers that all ask the same one. Harm prevented: the whole text, packed, is 125 KB for each of
 /// them and each change, more than what their callers send.
-class ConfigTexts
+class ConfigTextCache
 {
 public:
     /// \brief Notes that \a text is that of \a revision, which is the newest.
@@ -27,7 +27,7 @@
     void describe(std::uint64_t known, PeerState &out);
 
     /// \returns the text that \a state brings to a router whose own is \a known.
-    static Result<std::string> textIn(const PeerState &state, std::string_view known);
+    static Result<std::string> unpackText(const PeerState &state, std::string_view known);
 
 private:
     struct Entry
@@ -36,7 +36,7 @@
         std::string text;
     };
 
-    void forgetOld();
+    void removeOld();
 
     std::deque<Entry> m_entries; ///< The newest last.
     std::map<std::uint64_t, PeerState::Packed> m_packed; ///< By the revision that the asker has.
--- a/src/Control/EnginePort.h
+++ b/src/Control/EngineClient.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Error.h"
-#include "Control/EngineKnowledge.h"
+#include "Control/EngineTracker.h"
 
 #include <cstdint>
 #include <functional>
@@ -50,13 +50,13 @@
 };
 
 /// \brief The way to the engines and to their weight store; asynchronous like TableService.
-class EnginePort
+class EngineClient
 {
 public:
     template<typename T>
     using Callback = std::function<void(Result<T>)>;
 
-    virtual ~EnginePort() = default;
+    virtual ~EngineClient() = default;
 
     /// \param address `ip:port` of the engine.
     virtual void readLoad(std::string address, Callback<EngineLoad> done) = 0;
@@ -66,7 +66,7 @@
                                  Callback<CacheFeed> done) = 0;
 
     virtual void readState(std::string address, Callback<EngineState> done) = 0;
-    virtual void give(std::string address, EngineOrder order, Callback<OrderAnswer> done) = 0;
+    virtual void sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done) = 0;
 
     /// \param done gets the chat's KV cache; an error where the engine has none.
     virtual void exportKv(std::string address, std::string chat, Callback<std::string> done) = 0;
@@ -75,7 +75,7 @@
 
     /// \brief Asks the weight store for \a version of \a model. Its refusal for being asked too
     /// often is an error with retryAfter.
-    virtual void askWeights(std::string model, std::string version, Callback<void> done) = 0;
+    virtual void requestWeights(std::string model, std::string version, Callback<void> done) = 0;
 };
 
 } // namespace catkinloft
--- a/src/Control/EngineDigest.cpp
+++ b/src/Control/EngineDigest.cpp
@@ -35,20 +35,20 @@
     return static_cast<std::uint32_t>(hash64(engine));
 }
 
-bool standsOutMore(const EngineDigest::Entry &a, const EngineDigest::Entry &b)
+bool precedes(const EngineDigest::Entry &a, const EngineDigest::Entry &b)
 {
     return a.reachable != b.reachable ? !a.reachable : a.load > b.load;
 }
 
 } // namespace
 
-EngineDigest EngineDigest::of(const EngineKnowledge &knowledge,
-                              std::span<const std::string> engines, double factor)
+EngineDigest EngineDigest::of(const EngineTracker &tracker, std::span<const std::string> engines,
+                              double factor)
 {
     EngineDigest out;
     std::size_t n = 0;
     for (const std::string &it : engines) {
-        const auto hint = knowledge.hint(it);
+        const auto hint = tracker.hint(it);
         if (!hint)
             continue;
         out.entries.push_back(
@@ -60,7 +60,7 @@
     std::erase_if(out.entries, [&](const Entry &it) {
         return it.reachable && it.load <= factor * out.meanLoad;
     });
-    std::sort(out.entries.begin(), out.entries.end(), &standsOutMore);
+    std::sort(out.entries.begin(), out.entries.end(), &precedes);
     if (out.entries.size() > MaxEntries)
         out.entries.resize(MaxEntries);
     return out;
@@ -101,23 +101,23 @@
     return out;
 }
 
-EngineDigestBoard::EngineDigestBoard(const Clock &clock, Duration maxAge)
+PeerEngineDigests::PeerEngineDigests(const Clock &clock, Duration maxAge)
     : m_clock(clock), m_maxAge(maxAge)
 { }
 
-void EngineDigestBoard::absorb(std::string_view from, const EngineDigest &digest)
+void PeerEngineDigests::update(std::string_view from, const EngineDigest &digest)
 {
-    forgetOld();
+    removeOld();
     m_byRouter[std::string(from)] = {.digest = digest, .at = m_clock.now()};
 }
 
-void EngineDigestBoard::forgetOld()
+void PeerEngineDigests::removeOld()
 {
     std::erase_if(m_byRouter,
                   [this](const auto &it) { return m_clock.now() - it.second.at > m_maxAge; });
 }
 
-std::optional<EngineHint> EngineDigestBoard::hint(std::string_view engine) const
+std::optional<EngineHint> PeerEngineDigests::hint(std::string_view engine) const
 {
     const std::uint32_t id = shortId(engine);
     std::optional<EngineHint> out;
--- a/src/Control/EngineDigest.h
+++ b/src/Control/EngineDigest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Control/EngineKnowledge.h"
+#include "Control/EngineTracker.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -37,7 +37,7 @@
 
     /// \returns the digest of \a engines, of those that have a hint.
     /// \param factor an engine stands out whose load exceeds this multiple of the mean.
-    static EngineDigest of(const EngineKnowledge &knowledge, std::span<const std::string> engines,
+    static EngineDigest of(const EngineTracker &tracker, std::span<const std::string> engines,
                            double factor);
 
     /// \returns URL-safe text of at most 134 characters.
@@ -48,14 +48,14 @@
 };
 
 /// \brief What the digests of other routers say, with its age.
-class EngineDigestBoard
+class PeerEngineDigests
 {
 public:
     /// \param maxAge entries older than this are forgotten: no news is good news.
-    explicit EngineDigestBoard(const Clock &clock, Duration maxAge = std::chrono::seconds(15));
+    explicit PeerEngineDigests(const Clock &clock, Duration maxAge = std::chrono::seconds(15));
 
     /// \brief Takes over what router \a from says now; its earlier digest is gone.
-    void absorb(std::string_view from, const EngineDigest &digest);
+    void update(std::string_view from, const EngineDigest &digest);
 
     /// \returns what is said of \a engine, nothing where it does not stand out.
     std::optional<EngineHint> hint(std::string_view engine) const;
@@ -64,17 +64,17 @@
     std::size_t size() const { return m_byRouter.size(); }
 
 private:
-    struct Held
+    struct ReceivedDigest
     {
         EngineDigest digest;
         TimePoint at;
     };
 
-    void forgetOld();
+    void removeOld();
 
     const Clock &m_clock;
     Duration m_maxAge;
-    std::unordered_map<std::string, Held> m_byRouter;
+    std::unordered_map<std::string, ReceivedDigest> m_byRouter;
 };
 
 } // namespace catkinloft
--- a/src/Control/EngineOwners.cpp
+++ b/src/Control/EngineOwners.cpp
@@ -11,7 +11,7 @@
 
 EngineOwners::Owner EngineOwners::scoreOf(std::uint64_t id, std::uint64_t router) const
 {
-    ++m_scored;
+    ++m_scoreCount;
     // With equal weights rendezvousScore() rises with these bits, so its logarithm can be spared.
     return {.router = router, .score = hashCombine(id, router) >> 11};
 }
@@ -27,7 +27,7 @@
     return out;
 }
 
-bool EngineOwners::isFirst(std::uint64_t key) const
+bool EngineOwners::isPrimaryFor(std::uint64_t key) const
 {
     return best(key).router == m_self;
 }
@@ -57,16 +57,16 @@
     std::sort(next.begin(), next.end());
     if (next == m_routers)
         return false;
-    std::vector<std::uint64_t> come;
+    std::vector<std::uint64_t> added;
     std::set_difference(next.begin(), next.end(), m_routers.begin(), m_routers.end(),
-                        std::back_inserter(come));
+                        std::back_inserter(added));
     m_routers = std::move(next);
     for (Owned &it : m_engines) {
         if (!std::binary_search(m_routers.begin(), m_routers.end(), it.owner.router)) {
             it.owner = best(it.id);
             continue;
         }
-        for (const std::uint64_t router : come) {
+        for (const std::uint64_t router : added) {
             const Owner candidate = scoreOf(it.id, router);
             if (candidate.score > it.owner.score)
                 it.owner = candidate;
--- a/src/Control/EngineOwners.h
+++ b/src/Control/EngineOwners.h
@@ -33,10 +33,10 @@
     const std::vector<std::string> &owned() const { return m_owned; }
 
     /// \returns whether this router comes first for \a key, by the same order.
-    bool isFirst(std::uint64_t key) const;
+    bool isPrimaryFor(std::uint64_t key) const;
 
     /// \returns scores worked out so far, as a measure of the work.
-    std::uint64_t scored() const { return m_scored; }
+    std::uint64_t scoreCount() const { return m_scoreCount; }
 
 private:
     struct Owner
@@ -59,7 +59,7 @@
     std::vector<std::uint64_t> m_routers; ///< Hashes of the names, sorted.
     std::vector<Owned> m_engines;
     std::vector<std::string> m_owned;
-    mutable std::uint64_t m_scored = 0;
+    mutable std::uint64_t m_scoreCount = 0;
 };
 
 } // namespace catkinloft
--- a/src/Control/EnginePoller.cpp
+++ b/src/Control/EnginePoller.cpp
@@ -34,15 +34,15 @@
                                    if (alive.expired())
                                        return;
                                    if (load)
-                                       m_options.knowledge.noteLoad(name, load.value());
+                                       m_options.tracker.recordLoad(name, load.value());
                                    else
-                                       m_options.knowledge.noteUnreachable(name);
+                                       m_options.tracker.recordUnreachable(name);
                                });
-    m_options.engines.readCacheEvents(engine.address, m_options.knowledge.cursor(engine.name),
+    m_options.engines.readCacheEvents(engine.address, m_options.tracker.cursor(engine.name),
                                       [this, name = engine.name, alive = std::weak_ptr(m_alive)](
                                               const Result<CacheFeed> &feed) {
                                           if (!alive.expired() && feed)
-                                              m_options.knowledge.noteEvents(name, feed.value());
+                                              m_options.tracker.applyEvents(name, feed.value());
                                       });
 }
 
--- a/src/Control/EnginePoller.h
+++ b/src/Control/EnginePoller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Control/EngineKnowledge.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
+#include "Control/EngineTracker.h"
 
 #include <cstddef>
 #include <functional>
@@ -31,8 +31,8 @@
     struct Options
     {
         const Clock &clock;
-        EnginePort &engines;
-        EngineKnowledge &knowledge;
+        EngineClient &engines;
+        EngineTracker &tracker;
         double enginesPerSecond = 1;
         /// Whether there is room for control traffic that can wait.
         std::function<bool()> mayDefer = [] { return true; };
--- a/src/Control/EngineKnowledge.h
+++ b/src/Control/EngineTracker.h
@@ -65,7 +65,7 @@
 /// Load: 11 engines a router at 10,000 before 890, each with some hundred chats in its cache.
 /// Harm prevented: a router that trusts an old report and sends everything to an engine that was
 /// idle a while ago; memory that grows with the chats ever seen.
-class EngineKnowledge
+class EngineTracker
 {
 public:
     struct Options
@@ -78,22 +78,22 @@
         std::size_t chatsPerEngine = 4096;
     };
 
-    explicit EngineKnowledge(Options options);
+    explicit EngineTracker(Options options);
 
     /// \brief Takes over which engines this router reads; what is known of the others goes.
     void setOwned(std::span<const std::string> engines);
 
     /// \param wallNow the local calendar time at which \a load came.
-    void noteLoad(std::string_view engine, const EngineLoad &load);
-    void noteUnreachable(std::string_view engine);
+    void recordLoad(std::string_view engine, const EngineLoad &load);
+    void recordUnreachable(std::string_view engine);
 
     /// \brief Folds events in. A gap in their numbers says that evictions may be missing: what is
     /// remembered from before it counts half from then on. A restarted engine holds nothing.
-    void noteEvents(std::string_view engine, const CacheFeed &feed);
+    void applyEvents(std::string_view engine, const CacheFeed &feed);
 
     /// \brief Notes a request that the engine answered, which tells more than its events.
-    void noteServed(std::string_view engine, std::string_view chat, std::uint64_t chatKey,
-                    double tokens);
+    void recordServed(std::string_view engine, std::string_view chat, std::uint64_t chatKey,
+                      double tokens);
 
     /// \returns where the engine's next events begin.
     std::uint64_t cursor(std::string_view engine) const;
@@ -121,7 +121,7 @@
     };
     using ChatList = std::list<Chat>; ///< Most recently used first.
 
-    struct Known
+    struct TrackedEngine
     {
         EngineHint hint;
         TimePoint reportedAt; ///< By this clock; the report's own age taken off.
@@ -132,14 +132,14 @@
         std::unordered_map<std::string, ChatList::iterator> byChat;
     };
 
-    Known *find(std::string_view engine);
-    const Known *find(std::string_view engine) const;
-    Chat &touch(Known &known, std::string_view chat) const;
-    void fold(Known &known, const CacheEvent &event);
-    void changed(std::string_view engine, const Known &known) const;
+    TrackedEngine *find(std::string_view engine);
+    const TrackedEngine *find(std::string_view engine) const;
+    Chat &touch(TrackedEngine &tracked, std::string_view chat) const;
+    void applyEvent(TrackedEngine &tracked, const CacheEvent &event);
+    void notifyHint(std::string_view engine, const TrackedEngine &tracked) const;
 
     Options m_options;
-    std::map<std::string, Known, std::less<>> m_owned;
+    std::map<std::string, TrackedEngine, std::less<>> m_owned;
     std::uint64_t m_gaps = 0;
 };
 
--- a/src/Control/EntryDirectory.cpp
+++ b/src/Control/EntryDirectory.cpp
@@ -22,14 +22,14 @@
             ready.push_back(running.back());
     }
     for (const FleetView::Peer *it : m_options.fleet.live()) {
-        if (it->beat.leaving)
+        if (it->heartbeat.leaving)
             continue;
-        running.push_back({it->beat.callerAddress, it->beat.processorShare});
-        if (it->beat.ready)
+        running.push_back({it->heartbeat.callerAddress, it->heartbeat.processorShare});
+        if (it->heartbeat.ready)
             ready.push_back(running.back());
     }
     // They start together with this one, and most are ready by the time that a caller connects.
-    for (const RegisteredRouter &it : m_options.fleet.unheardToName())
+    for (const RegisteredRouter &it : m_options.fleet.unseenToAdvertise())
         ready.push_back({it.callerAddress, it.processorShare});
     return sample(ready.empty() ? std::move(running) : std::move(ready), most);
 }
--- a/src/Control/EvacuatedDomains.cpp
+++ b/src/Control/EvacuatedDomains.cpp
@@ -11,11 +11,11 @@
 {
     if (state.storeVersion <= m_state.storeVersion)
         return;
-    const bool isOther = state.domains != m_state.domains;
+    const bool hasChanged = state.domains != m_state.domains;
     m_state = state;
-    if (!isOther)
+    if (!hasChanged)
         return;
-    m_isWorthTelling = true;
+    m_shouldAnnounce = true;
     Log::info("evacuated_domains",
               {{"domains", fmt::format("{}", fmt::join(m_state.domains, " "))},
                {"store_version", m_state.storeVersion}});
--- a/src/Control/EvacuatedDomains.h
+++ b/src/Control/EvacuatedDomains.h
@@ -34,14 +34,14 @@
     const State &state() const { return m_state; }
 
     /// \returns whether other routers have to be told: there is or was an evacuation.
-    bool isWorthTelling() const { return m_isWorthTelling; }
+    bool shouldAnnounce() const { return m_shouldAnnounce; }
 
     /// \brief Emitted when a domain was evacuated or taken back.
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
     State m_state;
-    bool m_isWorthTelling = false;
+    bool m_shouldAnnounce = false;
     sigc::signal<void()> m_changed;
 };
 
--- a/src/Control/FleetView.cpp
+++ b/src/Control/FleetView.cpp
@@ -14,39 +14,42 @@
 /// A reader in order gets an answer of the store within a fifth of the time in which changes have
 /// to be in force, and the one before is as old again; a reader that waits longer has lost the
 /// store.
-constexpr double MaxSilencePart = 0.65;
+constexpr double MaxUnansweredFraction = 0.65;
 
 /// Rounds of beats in which every router that runs was heard, one lost datagram included. What was
 /// not heard for longer does not read for the others, and is not named after a start.
-constexpr int HeardRounds = 2;
+constexpr int MaxSilentRounds = 2;
 
 /// How long after its start a router names others to callers that it has not heard: a part of them
 /// is heard by then in a fleet of any size.
-constexpr Duration UnheardNamed = std::chrono::seconds(3);
+constexpr Duration UnseenAdvertisePeriod = std::chrono::seconds(3);
 
 } // namespace
 
-bool FleetView::receive(const RouterBeat &beat)
+bool FleetView::receive(const RouterHeartbeat &heartbeat)
 {
-    if (beat.name == m_options.self)
+    if (heartbeat.name == m_options.self)
         return false;
-    const auto known = m_peers.find(beat.name);
+    const auto known = m_peers.find(heartbeat.name);
     if (known != m_peers.end()) {
-        const RouterBeat &last = known->second.beat;
-        const auto order = [](const RouterBeat &it) {
+        const RouterHeartbeat &last = known->second.heartbeat;
+        const auto order = [](const RouterHeartbeat &it) {
             return std::pair(it.incarnation, it.sequence);
         };
-        if (order(beat) <= order(last))
+        if (order(heartbeat) <= order(last))
             return false;
-        if (last.ready != beat.ready || last.leaving != beat.leaving)
+        if (last.ready != heartbeat.ready || last.leaving != heartbeat.leaving)
             Log::info("router_changed",
-                      {{"router", beat.name}, {"ready", beat.ready}, {"leaving", beat.leaving}});
+                      {{"router", heartbeat.name},
+                       {"ready", heartbeat.ready},
+                       {"leaving", heartbeat.leaving}});
     } else {
-        Log::info("router_joined", {{"router", beat.name}, {"address", beat.callerAddress}});
+        Log::info("router_joined",
+                  {{"router", heartbeat.name}, {"address", heartbeat.callerAddress}});
     }
-    m_peers[beat.name] = {beat, m_options.clock.now()};
-    m_suspects.erase(beat.name);
-    addAddress(beat.peerAddress);
+    m_peers[heartbeat.name] = {heartbeat, m_options.clock.now()};
+    m_suspects.erase(heartbeat.name);
+    addAddress(heartbeat.peerAddress);
     return true;
 }
 
@@ -64,13 +67,14 @@
     m_registered.clear();
     for (const RegisteredRouter &it : routers)
         m_registered.emplace(it.name, it);
-    std::erase_if(m_peers,
-                  [&](const auto &it) { return now - it.second.heardAt > m_options.remembered; });
+    std::erase_if(m_peers, [&](const auto &it) {
+        return now - it.second.receivedAt > m_options.sharingTimeout;
+    });
     std::set<std::string> known;
     for (const auto &[name, it] : m_registered)
         known.insert(it.peerAddress);
     for (const auto &[name, it] : m_peers)
-        known.insert(it.beat.peerAddress);
+        known.insert(it.heartbeat.peerAddress);
     std::erase_if(m_addresses, [&](const std::string &it) { return !known.contains(it); });
     for (const RegisteredRouter &it : routers)
         addAddress(it.peerAddress);
@@ -82,7 +86,7 @@
 void FleetView::noteUnanswered(const std::string &name, TimePoint asked)
 {
     const auto peer = m_peers.find(name);
-    if (peer != m_peers.end() && peer->second.heardAt >= asked)
+    if (peer != m_peers.end() && peer->second.receivedAt >= asked)
         return;
     m_suspects[name] = m_options.clock.now();
     Log::info("router_suspected", {{"router", name}});
@@ -94,21 +98,22 @@
     return it != m_suspects.end() && m_options.clock.now() - it->second <= m_options.suspicion;
 }
 
-std::size_t FleetView::beatsInRound() const
+std::size_t FleetView::heartbeatsPerRound() const
 {
-    return (m_addresses.size() + BeatFanout - 1) / BeatFanout;
+    return (m_addresses.size() + HeartbeatFanout - 1) / HeartbeatFanout;
 }
 
 Duration FleetView::roundTime() const
 {
-    return BeatInterval * static_cast<int>(beatsInRound());
+    return HeartbeatInterval * static_cast<int>(heartbeatsPerRound());
 }
 
-std::vector<RegisteredRouter> FleetView::unheard() const
+std::vector<RegisteredRouter> FleetView::unseen() const
 {
     std::vector<RegisteredRouter> out;
     if (!m_registeredAt
-        || m_options.clock.now() - *m_registeredAt > HeardRounds * roundTime() + m_options.silence)
+        || m_options.clock.now() - *m_registeredAt
+                > MaxSilentRounds * roundTime() + m_options.heartbeatTimeout)
         return out;
     for (const auto &[name, it] : m_registered) {
         if (!m_peers.contains(name) && !isSuspect(name))
@@ -121,7 +126,7 @@
 {
     const auto peer = m_peers.find(name);
     if (peer != m_peers.end())
-        return peer->second.beat.peerAddress;
+        return peer->second.heartbeat.peerAddress;
     const auto registered = m_registered.find(name);
     return registered == m_registered.end() ? std::string() : registered->second.peerAddress;
 }
@@ -134,7 +139,7 @@
     return out;
 }
 
-std::vector<std::string> FleetView::keepersOf(std::string_view subject, std::size_t n) const
+std::vector<std::string> FleetView::holdersOf(std::string_view subject, std::size_t n) const
 {
     const std::uint64_t key = hash64(subject);
     std::vector<std::string> out = m_addresses;
@@ -161,15 +166,16 @@
     return static_cast<std::size_t>(before) < n;
 }
 
-std::vector<RegisteredRouter> FleetView::unheardToName() const
+std::vector<RegisteredRouter> FleetView::unseenToAdvertise() const
 {
-    const bool isEarly = m_registeredAt && m_options.clock.now() - *m_registeredAt <= UnheardNamed;
-    return isEarly ? unheard() : std::vector<RegisteredRouter>();
+    const bool isEarly =
+            m_registeredAt && m_options.clock.now() - *m_registeredAt <= UnseenAdvertisePeriod;
+    return isEarly ? unseen() : std::vector<RegisteredRouter>();
 }
 
 bool FleetView::isLive(const Peer &peer) const
 {
-    return m_options.clock.now() - peer.heardAt <= m_options.silence;
+    return m_options.clock.now() - peer.receivedAt <= m_options.heartbeatTimeout;
 }
 
 std::vector<const FleetView::Peer *> FleetView::live() const
@@ -182,11 +188,11 @@
     return out;
 }
 
-int FleetView::sharers() const
+int FleetView::sharingRouters() const
 {
     const TimePoint now = m_options.clock.now();
     const auto heard = std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &it) {
-        return now - it.second.heardAt <= m_options.remembered;
+        return now - it.second.receivedAt <= m_options.sharingTimeout;
     });
     // Registered routers that were never heard may serve all the same.
     return static_cast<int>(
@@ -197,14 +203,14 @@
 {
     // Its proof says nothing: another router may have renewed it.
     return !it.leaving && !it.storeFailing
-            && it.storeSilence <= scaled(m_options.configLimit, MaxSilencePart)
+            && it.storeUnansweredFor <= scaled(m_options.configApplyLimit, MaxUnansweredFraction)
             && !isSuspect(std::string(it.name));
 }
 
 std::vector<std::string> FleetView::readers(const Reader &self) const
 {
-    const Duration longest = HeardRounds * roundTime() + m_options.silence;
-    const std::vector<RegisteredRouter> unheardOnes = unheard();
+    const Duration longest = MaxSilentRounds * roundTime() + m_options.heartbeatTimeout;
+    const std::vector<RegisteredRouter> unseenRouters = unseen();
     std::vector<Reader> able;
     const auto add = [&](const Reader &it) {
         if (mayRead(it))
@@ -212,15 +218,15 @@
     };
     add(self);
     for (const auto &[name, it] : m_peers) {
-        if (m_options.clock.now() - it.heardAt > longest)
+        if (m_options.clock.now() - it.receivedAt > longest)
             continue;
-        add({.name = it.beat.name,
-             .processorShare = it.beat.processorShare,
-             .leaving = it.beat.leaving,
-             .storeFailing = it.beat.storeFailing,
-             .storeSilence = it.beat.storeSilence});
+        add({.name = it.heartbeat.name,
+             .processorShare = it.heartbeat.processorShare,
+             .leaving = it.heartbeat.leaving,
+             .storeFailing = it.heartbeat.storeFailing,
+             .storeUnansweredFor = it.heartbeat.storeUnansweredFor});
     }
-    for (const RegisteredRouter &it : unheardOnes)
+    for (const RegisteredRouter &it : unseenRouters)
         add({.name = it.name, .processorShare = it.processorShare});
     const auto rank = [](const Reader &it) {
         return std::pair(-it.processorShare, hash64(it.name));
@@ -245,11 +251,11 @@
 {
     const Peer *best = nullptr;
     for (const Peer *it : live()) {
-        if (it->beat.proofAge > maxAge)
+        if (it->heartbeat.proofAge > maxAge)
             continue;
-        if (!best || it->beat.revision > best->beat.revision
-            || (it->beat.revision == best->beat.revision
-                && it->beat.proofAge < best->beat.proofAge))
+        if (!best || it->heartbeat.revision > best->heartbeat.revision
+            || (it->heartbeat.revision == best->heartbeat.revision
+                && it->heartbeat.proofAge < best->heartbeat.proofAge))
             best = it;
     }
     return best;
--- a/src/Control/FleetView.h
+++ b/src/Control/FleetView.h
@@ -2,7 +2,7 @@
 
 #include "Base/Clock.h"
 #include "Control/RegisteredRouter.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 
 #include <map>
 #include <optional>
@@ -30,35 +30,36 @@
         std::string self; ///< Name of this router.
         std::string selfAddress = {}; ///< `ip:port` at which the others reach it.
         /// A router that was silent for so long is not named to callers: some four beats.
-        Duration silence = std::chrono::milliseconds(1500);
-        Duration configLimit = std::chrono::seconds(2); ///< In which changes have to be in force.
+        Duration heartbeatTimeout = std::chrono::milliseconds(1500);
+        Duration configApplyLimit =
+                std::chrono::seconds(2); ///< In which changes have to be in force.
         /// How long a silent router still counts among those that share limits.
-        Duration remembered = std::chrono::seconds(30);
+        Duration sharingTimeout = std::chrono::seconds(30);
         /// How long a router that did not answer is not asked again unless it is heard.
         Duration suspicion = std::chrono::seconds(10);
     };
 
     /// Pause between beats. Counts of requests in progress are at most this old in a small fleet.
-    static constexpr Duration BeatInterval = std::chrono::milliseconds(400);
+    static constexpr Duration HeartbeatInterval = std::chrono::milliseconds(400);
 
     /// Routers that one beat goes to.
-    static constexpr std::size_t BeatFanout = 26;
+    static constexpr std::size_t HeartbeatFanout = 26;
 
     /// \brief Another router, as last heard.
     struct Peer
     {
-        RouterBeat beat;
-        TimePoint heardAt;
+        RouterHeartbeat heartbeat;
+        TimePoint receivedAt;
     };
 
     /// \brief What decides whether a router reads the store for the others.
     struct Reader
     {
         std::string_view name;
-        double processorShare = 1; ///< \sa RouterBeat::processorShare
+        double processorShare = 1; ///< \sa RouterHeartbeat::processorShare
         bool leaving = false;
-        bool storeFailing = false; ///< \sa RouterBeat::storeFailing
-        Duration storeSilence = Duration::zero(); ///< \sa RouterBeat::storeSilence
+        bool storeFailing = false; ///< \sa RouterHeartbeat::storeFailing
+        Duration storeUnansweredFor = Duration::zero(); ///< \sa RouterHeartbeat::storeUnansweredFor
     };
 
     static constexpr std::size_t ReaderCount = 2;
@@ -66,11 +67,11 @@
     explicit FleetView(Options options) : m_options(std::move(options)) { }
 
     /// \brief Changes the time in which changes have to be in force.
-    void setConfigLimit(Duration limit) { m_options.configLimit = limit; }
+    void setConfigApplyLimit(Duration limit) { m_options.configApplyLimit = limit; }
 
-    /// \brief Takes over \a beat.
+    /// \brief Takes over \a heartbeat.
     /// \returns false where it is this router's own, or older than what is known.
-    bool receive(const RouterBeat &beat);
+    bool receive(const RouterHeartbeat &heartbeat);
 
     /// \brief Takes over the routers that the store has, and forgets those that it lacks and that
     /// were not heard for long.
@@ -88,7 +89,7 @@
 
     /// \returns the addresses of \a n routers that keep what is told about \a subject, the same on
     /// all routers that know the same others. This one is not among them.
-    std::vector<std::string> keepersOf(std::string_view subject, std::size_t n) const;
+    std::vector<std::string> holdersOf(std::string_view subject, std::size_t n) const;
 
     /// \returns whether this router is one of the \a n that are chosen for \a subject, the same on
     /// all routers that know the same others; false before the store's rows are known.
@@ -98,7 +99,7 @@
     std::size_t addressCount() const { return m_addresses.size(); }
 
     /// \returns how many beats it takes to reach every other router once.
-    std::size_t beatsInRound() const;
+    std::size_t heartbeatsPerRound() const;
 
     /// \returns the other routers that were heard lately, leaving ones included.
     std::vector<const Peer *> live() const;
@@ -108,15 +109,15 @@
     ///
     /// Load: all routers start at once, and callers with them. Harm prevented: the first ones heard
     /// would be the only ones named to callers and would read the store for all.
-    std::vector<RegisteredRouter> unheard() const;
+    std::vector<RegisteredRouter> unseen() const;
 
-    /// \returns those of unheard() that callers may be told of: rows of routers that are gone for
+    /// \returns those of unseen() that callers may be told of: rows of routers that are gone for
     /// good stay, and are not named for longer than others need to be heard.
-    std::vector<RegisteredRouter> unheardToName() const;
+    std::vector<RegisteredRouter> unseenToAdvertise() const;
 
     /// \returns how many routers share the fleet's limits, this one included. Routers that fell
     /// silent count for a while, since they may be cut off and serving.
-    int sharers() const;
+    int sharingRouters() const;
 
     /// \brief Decides which routers read the store for the others.
     ///
--- a/src/Control/EngineKvMover.cpp
+++ b/src/Control/KvCacheMigrator.cpp
@@ -1,4 +1,4 @@
-#include "Control/EngineKvMover.h"
+#include "Control/KvCacheMigrator.h"
 
 #include "Base/Log.h"
 #include "Decide/Rendezvous.h"
@@ -16,36 +16,36 @@
 
 } // namespace
 
-EngineKvMover::EngineKvMover(Options options) : m_options(options) { }
+KvCacheMigrator::KvCacheMigrator(Options options) : m_options(options) { }
 
-void EngineKvMover::setInventory(InventoryPtr inventory)
+void KvCacheMigrator::setInventory(InventoryPtr inventory)
 {
     m_inventory = std::move(inventory);
     for (const Engine &it : m_inventory->engines) {
-        if (it.leaving && !m_leaves.contains(it.name))
-            start(it);
+        if (it.leaving && !m_migrations.contains(it.name))
+            startMigration(it);
         else if (!it.leaving)
-            m_leaves.erase(it.name);
+            m_migrations.erase(it.name);
     }
-    std::erase_if(m_leaves, [this](const auto &it) { return !engineNamed(it.first); });
+    std::erase_if(m_migrations, [this](const auto &it) { return !findEngine(it.first); });
 }
 
-std::size_t EngineKvMover::waiting() const
+std::size_t KvCacheMigrator::waiting() const
 {
     std::size_t n = 0;
-    for (const auto &it : m_leaves)
+    for (const auto &it : m_migrations)
         n += it.second.chats.size();
     return n;
 }
 
-const Engine *EngineKvMover::engineNamed(const std::string &name) const
+const Engine *KvCacheMigrator::findEngine(const std::string &name) const
 {
     const auto it = std::find_if(m_inventory->engines.begin(), m_inventory->engines.end(),
                                  [&](const Engine &engine) { return engine.name == name; });
     return it == m_inventory->engines.end() ? nullptr : &*it;
 }
 
-const Engine *EngineKvMover::nextFor(std::uint64_t chatKey, const Engine &from) const
+const Engine *KvCacheMigrator::targetFor(std::uint64_t chatKey, const Engine &from) const
 {
     const Engine *best = nullptr;
     double bestScore = 0;
@@ -62,24 +62,24 @@
     return best;
 }
 
-void EngineKvMover::start(const Engine &engine)
+void KvCacheMigrator::startMigration(const Engine &engine)
 {
-    Leave leave;
-    for (CachedChat &it : m_options.knowledge.chatsOf(engine.name)) {
+    Migration migration;
+    for (CachedChat &it : m_options.tracker.chatsOf(engine.name)) {
         if (it.chatKey != 0) // Else its order isn't known here.
-            leave.chats.push_back(std::move(it));
+            migration.chats.push_back(std::move(it));
     }
-    Log::info("kv_move_started", {{"engine", engine.name}, {"chats", leave.chats.size()}});
-    m_leaves[engine.name] = std::move(leave);
+    Log::info("kv_move_started", {{"engine", engine.name}, {"chats", migration.chats.size()}});
+    m_migrations[engine.name] = std::move(migration);
     for (int i = 0; i < m_options.parallel; ++i)
-        next(engine.name);
+        copyNext(engine.name);
 }
 
-void EngineKvMover::next(const std::string &name)
+void KvCacheMigrator::copyNext(const std::string &name)
 {
-    const auto it = m_leaves.find(name);
-    const Engine *from = engineNamed(name);
-    if (it == m_leaves.end() || !from || it->second.chats.empty())
+    const auto it = m_migrations.find(name);
+    const Engine *from = findEngine(name);
+    if (it == m_migrations.end() || !from || it->second.chats.empty())
         return;
     const CachedChat chat = std::move(it->second.chats.front());
     it->second.chats.pop_front();
@@ -87,11 +87,11 @@
     copy(name, *from, chat);
 }
 
-void EngineKvMover::copy(const std::string &name, const Engine &from, const CachedChat &chat)
+void KvCacheMigrator::copy(const std::string &name, const Engine &from, const CachedChat &chat)
 {
-    const Engine *to = nextFor(chat.chatKey, from);
+    const Engine *to = targetFor(chat.chatKey, from);
     if (!to) {
-        copied(name, chat, Error{.reason = Reason::NoLiveEngine});
+        finishCopy(name, chat, Error{.reason = Reason::NoLiveEngine});
         return;
     }
     m_options.engines.exportKv(from.address, chat.chat,
@@ -100,24 +100,24 @@
                                    if (alive.expired())
                                        return;
                                    if (!blob) {
-                                       copied(name, chat, blob.error());
+                                       finishCopy(name, chat, blob.error());
                                        return;
                                    }
                                    m_options.engines.importKv(
                                            address, chat.chat, blob.value(),
                                            [this, name, chat, alive](const Result<void> &result) {
                                                if (!alive.expired())
-                                                   copied(name, chat, result);
+                                                   finishCopy(name, chat, result);
                                            });
                                });
 }
 
-void EngineKvMover::copied(const std::string &name, const CachedChat &chat,
-                           const Result<void> &result)
+void KvCacheMigrator::finishCopy(const std::string &name, const CachedChat &chat,
+                                 const Result<void> &result)
 {
     m_options.metrics.count(CopiesTotal, Metrics::label("result", result ? "copied" : "failed"));
-    const auto it = m_leaves.find(name);
-    if (it == m_leaves.end())
+    const auto it = m_migrations.find(name);
+    if (it == m_migrations.end())
         return;
     --it->second.running;
     it->second.failures = result ? 0 : it->second.failures + 1;
@@ -129,7 +129,7 @@
     }
     if (it->second.failures >= MaxFailures)
         it->second.chats.clear();
-    next(name);
+    copyNext(name);
 }
 
 } // namespace catkinloft
--- a/src/Control/EngineKvMover.h
+++ b/src/Control/KvCacheMigrator.h
@@ -2,8 +2,8 @@
 
 #include "Base/Inventory.h"
 #include "Base/Metrics.h"
-#include "Control/EngineKnowledge.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
+#include "Control/EngineTracker.h"
 
 #include <cstddef>
 #include <deque>
@@ -21,19 +21,19 @@
 /// again.
 /// A copy needs no lease: the engine that gets it may hold it twice or not use it, and answers are
 /// the same either way.
-class EngineKvMover
+class KvCacheMigrator
 {
 public:
     struct Options
     {
-        EnginePort &engines;
-        EngineKnowledge &knowledge;
+        EngineClient &engines;
+        EngineTracker &tracker;
         Metrics &metrics;
         /// Copies at a time from one engine: it still serves its last requests meanwhile.
         int parallel = 2;
     };
 
-    explicit EngineKvMover(Options options);
+    explicit KvCacheMigrator(Options options);
 
     /// \brief Takes over the inventory; starts on engines that are leaving in it and were not
     /// before.
@@ -43,23 +43,23 @@
     std::size_t waiting() const;
 
 private:
-    struct Leave
+    struct Migration
     {
         std::deque<CachedChat> chats; ///< The most tokens first.
         int running = 0;
         int failures = 0; ///< In a row.
     };
 
-    void start(const Engine &engine);
-    void next(const std::string &name);
+    void startMigration(const Engine &engine);
+    void copyNext(const std::string &name);
     void copy(const std::string &name, const Engine &from, const CachedChat &chat);
-    void copied(const std::string &name, const CachedChat &chat, const Result<void> &result);
-    const Engine *engineNamed(const std::string &name) const;
-    const Engine *nextFor(std::uint64_t chatKey, const Engine &from) const;
+    void finishCopy(const std::string &name, const CachedChat &chat, const Result<void> &result);
+    const Engine *findEngine(const std::string &name) const;
+    const Engine *targetFor(std::uint64_t chatKey, const Engine &from) const;
 
     Options m_options;
     InventoryPtr m_inventory;
-    std::map<std::string, Leave> m_leaves;
+    std::map<std::string, Migration> m_migrations;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/Control/LeaseKeeper.cpp
+++ b/src/Control/LeaseManager.cpp
@@ -1,4 +1,4 @@
-#include "Control/LeaseKeeper.h"
+#include "Control/LeaseManager.h"
 
 #include "Base/Log.h"
 
@@ -17,7 +17,7 @@
 
 /// Largest step that an engine may ask for. A lease that changes hands every minute takes two years
 /// for as many numbers.
-constexpr std::uint64_t MaxRaise = 1'000'000;
+constexpr std::uint64_t MaxFenceRaise = 1'000'000;
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -44,87 +44,87 @@
                  .duration = Milliseconds(root["duration_ms"].asInt64())};
 }
 
-LeaseKeeper::LeaseKeeper(Options options)
+LeaseManager::LeaseManager(Options options)
     : m_options(std::move(options)),
       m_holder(fmt::format("{}/{:016x}", m_options.self, m_options.random()))
 {
-    m_next = m_options.clock.now() + jittered(m_options.takeInterval);
+    m_next = m_options.clock.now() + jittered(m_options.acquireInterval);
 }
 
-Duration LeaseKeeper::jittered(Duration d) const
+Duration LeaseManager::jittered(Duration d) const
 {
     return scaled(d, 0.5 + uniform(m_options.random));
 }
 
-void LeaseKeeper::scheduleAfter(Duration delay)
+void LeaseManager::scheduleAfter(Duration delay)
 {
     m_next = m_options.clock.now() + delay;
 }
 
-TimePoint LeaseKeeper::nextDeadline() const
+TimePoint LeaseManager::nextDeadline() const
 {
     if (m_busy || (!m_wanted && !m_held && m_attempts.empty()))
         return TimePoint::max();
     return m_next;
 }
 
-std::optional<std::uint64_t> LeaseKeeper::fence() const
+std::optional<std::uint64_t> LeaseManager::fence() const
 {
-    if (!m_held || !m_wanted || m_options.clock.now() >= m_until)
+    if (!m_held || !m_wanted || m_options.clock.now() >= m_expiresAt)
         return std::nullopt;
-    return m_row.fence;
+    return m_lastRow.fence;
 }
 
-void LeaseKeeper::setWanted(bool wanted)
+void LeaseManager::setWanted(bool wanted)
 {
     if (wanted == m_wanted)
         return;
     m_wanted = wanted;
     if (!wanted || !m_held)
-        scheduleAfter(wanted ? jittered(m_options.takeInterval) : Duration::zero());
+        scheduleAfter(wanted ? jittered(m_options.acquireInterval) : Duration::zero());
 }
 
-bool LeaseKeeper::raiseFence(std::uint64_t floor)
+bool LeaseManager::raiseFence(std::uint64_t floor)
 {
-    if (floor > m_row.fence && floor - m_row.fence > MaxRaise)
+    if (floor > m_lastRow.fence && floor - m_lastRow.fence > MaxFenceRaise)
         return false;
     m_fenceFloor = std::max(m_fenceFloor, floor + 1);
-    if (m_held && m_row.fence < m_fenceFloor)
+    if (m_held && m_lastRow.fence < m_fenceFloor)
         scheduleAfter(Duration::zero());
     return true;
 }
 
-void LeaseKeeper::poll()
+void LeaseManager::poll()
 {
     const TimePoint now = m_options.clock.now();
-    if (m_held && now >= m_until)
-        lose("lease_lapsed");
+    if (m_held && now >= m_expiresAt)
+        markLost("lease_lapsed");
     if (m_busy || now < nextDeadline())
         return;
     if (!m_held || !m_attempts.empty())
-        look(); // Free, another's, or a write of ours whose answer was lost.
+        readRow(); // Free, another's, or a write of ours whose answer was lost.
     else if (m_wanted)
-        write(m_holder, std::max(m_row.fence, m_fenceFloor));
+        write(m_holder, std::max(m_lastRow.fence, m_fenceFloor));
     else
-        give();
+        release();
 }
 
-void LeaseKeeper::give()
+void LeaseManager::release()
 {
     // From here on the row may become free at any time, also if the lease is wanted again; only a
     // later write of ours, seen in the row, rules that out.
     m_held = false;
-    m_giving = true;
-    write({}, m_row.fence);
+    m_releasing = true;
+    write({}, m_lastRow.fence);
 }
 
-void LeaseKeeper::lose(std::string_view event)
+void LeaseManager::markLost(std::string_view event)
 {
     m_held = false;
-    Log::warning(event, {{"lease", m_options.key}, {"fence", m_row.fence}});
+    Log::warning(event, {{"lease", m_options.key}, {"fence", m_lastRow.fence}});
 }
 
-void LeaseKeeper::look()
+void LeaseManager::readRow()
 {
     m_busy = true;
     m_options.table.read(
@@ -133,52 +133,52 @@
                 if (alive.expired())
                     return;
                 m_busy = false;
-                scheduleAfter(jittered(m_options.takeInterval));
+                scheduleAfter(jittered(m_options.acquireInterval));
                 if (rows)
-                    saw(rows.value().empty()
-                                ? TableRow{.key = m_options.key, .value = {}, .version = 0}
-                                : rows.value().front());
+                    handleRow(rows.value().empty()
+                                      ? TableRow{.key = m_options.key, .value = {}, .version = 0}
+                                      : rows.value().front());
             });
 }
 
-void LeaseKeeper::saw(const TableRow &row)
+void LeaseManager::handleRow(const TableRow &row)
 {
-    if (!m_seen || row.version != m_version) {
-        m_seenSince = m_options.clock.now();
+    if (!m_hasRow || row.version != m_version) {
+        m_firstSeenAt = m_options.clock.now();
         m_version = row.version;
-        m_row = Lease::decode(row.value).value_or(Lease{});
-        m_seen = true;
+        m_lastRow = Lease::decode(row.value).value_or(Lease{});
+        m_hasRow = true;
     }
-    const auto own = m_row.holder == m_holder ? attemptById(m_row.attempt) : std::nullopt;
+    const auto own = m_lastRow.holder == m_holder ? findAttempt(m_lastRow.attempt) : std::nullopt;
     if (own) {
-        adopt(*own);
+        adoptWrite(*own);
         return;
     }
     if (m_held && m_wanted)
-        lose("lease_lost");
+        markLost("lease_lost");
     m_held = false;
     if (m_wanted && isFree())
-        write(m_holder, std::max(m_row.fence + 1, m_fenceFloor));
+        write(m_holder, std::max(m_lastRow.fence + 1, m_fenceFloor));
     else
         m_attempts.clear(); // One that lands later only blocks the row for one duration.
 }
 
-bool LeaseKeeper::isFree() const
+bool LeaseManager::isFree() const
 {
-    return m_version == 0 || m_row.holder.empty()
-            || m_options.clock.now() - m_seenSince >= m_row.duration;
+    return m_version == 0 || m_lastRow.holder.empty()
+            || m_options.clock.now() - m_firstSeenAt >= m_lastRow.duration;
 }
 
-std::optional<LeaseKeeper::Attempt> LeaseKeeper::attemptById(std::uint64_t id) const
+std::optional<LeaseManager::Attempt> LeaseManager::findAttempt(std::uint64_t id) const
 {
-    if (m_current.id == id)
-        return m_current;
+    if (m_currentAttempt.id == id)
+        return m_currentAttempt;
     const auto it = std::find_if(m_attempts.begin(), m_attempts.end(),
                                  [&](const Attempt &a) { return a.id == id; });
     return it == m_attempts.end() ? std::nullopt : std::optional(*it);
 }
 
-void LeaseKeeper::write(std::string holder, std::uint64_t fence)
+void LeaseManager::write(std::string holder, std::uint64_t fence)
 {
     const Lease lease{.holder = std::move(holder),
                       .fence = fence,
@@ -195,48 +195,48 @@
                            [this, id = lease.attempt,
                             alive = std::weak_ptr(m_alive)](const Result<TableCommit> &answer) {
                                if (!alive.expired())
-                                   wrote(answer, id);
+                                   handleCommit(answer, id);
                            });
 }
 
-void LeaseKeeper::wrote(const Result<TableCommit> &answer, std::uint64_t id)
+void LeaseManager::handleCommit(const Result<TableCommit> &answer, std::uint64_t id)
 {
     m_busy = false;
     const bool isDecided = answer || answer.error().verdict == Verdict::NotRun;
     if (!answer && isDecided)
         std::erase_if(m_attempts, [&](const Attempt &it) { return it.id == id; });
-    scheduleAfter(jittered(m_options.takeInterval));
+    scheduleAfter(jittered(m_options.acquireInterval));
     // The row as it stands is the only thing by which a write counts: the answer to a commit, a
     // conflict and the truth after a lost answer take the same path.
     if (answer && !answer.value().current.empty())
-        saw(answer.value().current.front());
+        handleRow(answer.value().current.front());
 }
 
-void LeaseKeeper::adopt(const Attempt &attempt)
+void LeaseManager::adoptWrite(const Attempt &attempt)
 {
-    const bool isNew = attempt.id != m_current.id;
-    m_current = attempt;
+    const bool isNew = attempt.id != m_currentAttempt.id;
+    m_currentAttempt = attempt;
     if (isNew) {
         // They expect an older row, so none of them can take effect any more.
         m_attempts.clear();
-        m_giving = false;
+        m_releasing = false;
     }
-    m_until = attempt.sentAt + m_options.duration - m_options.margin;
-    const bool taken = !m_held;
-    m_held = !m_giving && m_options.clock.now() < m_until;
-    if (m_held && taken)
-        Log::info("lease_taken", {{"lease", m_options.key}, {"fence", m_row.fence}});
+    m_expiresAt = attempt.sentAt + m_options.duration - m_options.margin;
+    const bool acquired = !m_held;
+    m_held = !m_releasing && m_options.clock.now() < m_expiresAt;
+    if (m_held && acquired)
+        Log::info("lease_taken", {{"lease", m_options.key}, {"fence", m_lastRow.fence}});
     if (!m_wanted)
-        give();
+        release();
     else if (!m_held) // Lapsed or being given back, but nobody took it: a new taking.
-        write(m_holder, std::max(m_row.fence + 1, m_fenceFloor));
-    else if (isNew && m_row.fence >= m_fenceFloor)
+        write(m_holder, std::max(m_lastRow.fence + 1, m_fenceFloor));
+    else if (isNew && m_lastRow.fence >= m_fenceFloor)
         scheduleAfter(m_options.renewInterval);
     else
-        write(m_holder, std::max(m_row.fence, m_fenceFloor));
+        write(m_holder, std::max(m_lastRow.fence, m_fenceFloor));
 }
 
-void LeaseKeeper::confirm(std::function<void(bool)> done)
+void LeaseManager::confirm(std::function<void(bool)> done)
 {
     m_options.table.read({m_options.key},
                          [this, done = std::move(done), alive = std::weak_ptr(m_alive)](
--- a/src/Control/LeaseKeeper.h
+++ b/src/Control/LeaseManager.h
@@ -36,7 +36,7 @@
 /// The holder counts from before it sent its write and stops a margin early; a contender counts
 /// from after it saw that write. So neither calendar time nor synchronised clocks matter, only that
 /// monotonic clocks run at nearly the same rate.
-class LeaseKeeper
+class LeaseManager
 {
 public:
     struct Options
@@ -52,10 +52,10 @@
         Duration margin = std::chrono::seconds(2);
         /// Contenders look at the row this often, spread by half of it: when a store comes back,
         /// they don't all write at once.
-        Duration takeInterval = std::chrono::seconds(5);
+        Duration acquireInterval = std::chrono::seconds(5);
     };
 
-    explicit LeaseKeeper(Options options);
+    explicit LeaseManager(Options options);
 
     /// \brief Whether this router should hold the lease; one that should not gives it back.
     void setWanted(bool wanted);
@@ -86,31 +86,31 @@
         TimePoint sentAt;
     };
 
-    void look();
-    void saw(const TableRow &row);
-    void adopt(const Attempt &attempt);
+    void readRow();
+    void handleRow(const TableRow &row);
+    void adoptWrite(const Attempt &attempt);
     bool isFree() const;
-    void give();
+    void release();
     void write(std::string holder, std::uint64_t fence);
-    void wrote(const Result<TableCommit> &answer, std::uint64_t id);
-    void lose(std::string_view event);
+    void handleCommit(const Result<TableCommit> &answer, std::uint64_t id);
+    void markLost(std::string_view event);
     void scheduleAfter(Duration delay);
     Duration jittered(Duration d) const;
-    std::optional<Attempt> attemptById(std::uint64_t id) const;
+    std::optional<Attempt> findAttempt(std::uint64_t id) const;
 
     Options m_options;
     std::string m_holder; ///< Name and incarnation, so that a restarted router is another one.
     bool m_wanted = false;
     bool m_busy = false; ///< A read or write is under way.
     std::uint64_t m_version = 0; ///< Of the row, as last seen.
-    Lease m_row; ///< As last seen.
-    TimePoint m_seenSince; ///< When the row was first seen at m_version.
-    bool m_seen = false;
+    Lease m_lastRow; ///< As last seen.
+    TimePoint m_firstSeenAt; ///< When the row was first seen at m_version.
+    bool m_hasRow = false;
     bool m_held = false;
-    bool m_giving = false; ///< A giving back was sent, which may still take effect.
-    TimePoint m_until; ///< End of the lease by this clock, margin taken off.
+    bool m_releasing = false; ///< A giving back was sent, which may still take effect.
+    TimePoint m_expiresAt; ///< End of the lease by this clock, margin taken off.
     std::uint64_t m_fenceFloor = 0;
-    Attempt m_current; ///< The write that the row as last seen came from, if it is ours.
+    Attempt m_currentAttempt; ///< The write that the row as last seen came from, if it is ours.
     std::vector<Attempt> m_attempts; ///< Later writes whose outcome is open, newest last.
     TimePoint m_next;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/src/Control/Member.h
+++ b/src/Control/Member.h
@@ -27,14 +27,14 @@
     MemberState state = MemberState::Alive;
     std::uint64_t incarnation = 0; ///< Raised only by the member itself.
     std::uint32_t load = 0; ///< Requests in progress, as last heard.
-    TimePoint heardAt = TimePoint::min(); ///< When `load` was heard here; not sent.
+    TimePoint loadReceivedAt = TimePoint::min(); ///< When `load` was heard here; not sent.
 
     /// \returns whether `load` was heard less than \a life before \a now.
-    bool heardWithin(Duration life, TimePoint now) const
+    bool loadReceivedWithin(Duration life, TimePoint now) const
     {
         // Compared this way round because "never" is the least TimePoint: its age would overflow
         // and make a load that was never heard a fresh one.
-        return heardAt > now - life;
+        return loadReceivedAt > now - life;
     }
 };
 
--- a/src/Control/NewsQueue.cpp
+++ b/src/Control/MemberUpdateQueue.cpp
@@ -1,15 +1,15 @@
-#include "Control/NewsQueue.h"
+#include "Control/MemberUpdateQueue.h"
 
 #include <algorithm>
 
 namespace catkinloft {
 
-void NewsQueue::add(const Member &news)
+void MemberUpdateQueue::add(const Member &update)
 {
-    m_items[news.name] = {.news = news, .sends = 0};
+    m_items[update.name] = {.update = update, .sends = 0};
 }
 
-std::vector<Member> NewsQueue::take(std::size_t maxItems, int maxSends)
+std::vector<Member> MemberUpdateQueue::take(std::size_t maxItems, int maxSends)
 {
     std::vector<Item *> order;
     for (auto &[name, item] : m_items)
@@ -19,7 +19,7 @@
                       [](const Item *a, const Item *b) { return a->sends < b->sends; });
     std::vector<Member> out;
     for (std::size_t i = 0; i < n; ++i) {
-        out.push_back(order[i]->news);
+        out.push_back(order[i]->update);
         ++order[i]->sends;
     }
     std::erase_if(m_items, [&](const auto &it) { return it.second.sends >= maxSends; });
--- a/src/Control/NewsQueue.h
+++ b/src/Control/MemberUpdateQueue.h
@@ -15,11 +15,11 @@
 /// failure domain fails. Harm prevented: a message that grows with the amount of news would break
 /// the byte limit at just that time; here the news waits instead. What was sent least goes first,
 /// so that a flood doesn't starve the last item.
-class NewsQueue
+class MemberUpdateQueue
 {
 public:
-    /// \brief Queues \a news in place of older news about the same member.
-    void add(const Member &news);
+    /// \brief Queues \a update in place of older news about the same member.
+    void add(const Member &update);
 
     /// \returns at most \a maxItems items; each is dropped after \a maxSends of them.
     std::vector<Member> take(std::size_t maxItems, int maxSends);
@@ -29,7 +29,7 @@
 private:
     struct Item
     {
-        Member news;
+        Member update;
         int sends = 0;
     };
     std::map<std::string, Item> m_items;
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -12,7 +12,7 @@
 
 /// Items of news on one message. About 110 bytes each: the datagram stays under the 1,200 bytes
 /// that pass every link whole, together with a delta's own limit.
-constexpr std::size_t NewsPerMessage = 3;
+constexpr std::size_t UpdatesPerMessage = 3;
 
 /// Members on a page of a whole list, for the same reason.
 constexpr std::size_t SyncPage = 6;
@@ -41,7 +41,7 @@
     : m_options(std::move(options)), m_self(m_options.self), m_nextPeriod(m_options.clock.now()),
       m_nextSync(m_options.clock.now() + std::chrono::seconds(2))
 {
-    m_news.add(m_self);
+    m_updates.add(m_self);
 }
 
 void Membership::addSeed(const std::string &peerAddress)
@@ -72,16 +72,16 @@
     return out;
 }
 
-std::size_t Membership::newsRoom() const
+std::size_t Membership::maxUpdatesPerMessage() const
 {
     // Where the byte limit is near, news waits for later messages.
-    return !m_options.mayDefer || m_options.mayDefer() ? NewsPerMessage : 1;
+    return !m_options.mayDefer || m_options.mayDefer() ? UpdatesPerMessage : 1;
 }
 
 void Membership::sendTo(const Member &member, PeerMessage message)
 {
-    if (message.news.empty())
-        message.news = m_news.take(newsRoom(), maxSends());
+    if (message.updates.empty())
+        message.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
     m_options.send(member.peerAddress, std::move(message));
 }
 
@@ -103,17 +103,17 @@
 {
     if (message.from == m_self.name)
         return;
-    m_lastHeard = m_options.clock.now();
+    m_lastReceivedAt = m_options.clock.now();
     // Pages of a whole list bring what others know already: passing that on would fill messages.
     const bool isNews = message.kind != PeerMessageKind::Sync;
-    for (const Member &it : message.news)
+    for (const Member &it : message.updates)
         accept(it, isNews);
-    heardFrom(address, message);
+    handleSender(address, message);
     switch (message.kind) {
     case PeerMessageKind::Ping: {
         PeerMessage ack = compose(PeerMessageKind::Ack, message.from);
         ack.probe = message.probe;
-        ack.news = m_news.take(newsRoom(), maxSends());
+        ack.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
         m_options.send(address, std::move(ack));
         break;
     }
@@ -137,87 +137,88 @@
     case PeerMessageKind::ConfigLarge:
         break;
     }
-    if (m_gossipWanted)
+    if (m_gossipPending)
         gossip();
 }
 
-void Membership::heardFrom(const std::string &address, const PeerMessage &message)
+void Membership::handleSender(const std::string &address, const PeerMessage &message)
 {
     const auto it = m_members.find(message.from);
     if (it == m_members.end() || message.incarnation > it->second.incarnation) {
         // News is passed on a bounded number of times and may miss someone; whoever then hears from
         // the member itself asks it. Its own page tells who it is.
         PeerMessage request = compose(PeerMessageKind::SyncRequest, message.from);
-        request.news = {m_self};
+        request.updates = {m_self};
         if (message.kind != PeerMessageKind::SyncRequest && message.kind != PeerMessageKind::Sync)
             m_options.send(address, std::move(request));
         return;
     }
     it->second.load = message.load;
-    it->second.heardAt = m_lastHeard;
+    it->second.loadReceivedAt = m_lastReceivedAt;
     if (it->second.state == MemberState::Suspect || it->second.state == MemberState::Dead) {
         // It lives, but only its own higher incarnation may say so to all: it gets told.
         PeerMessage told = compose(PeerMessageKind::Gossip, message.from);
-        told.news = {it->second};
+        told.updates = {it->second};
         m_options.send(address, std::move(told));
     }
 }
 
-void Membership::accept(const Member &news, bool passOn)
+void Membership::accept(const Member &updates, bool disseminate)
 {
-    if (news.name == m_self.name) {
-        acceptAboutSelf(news);
+    if (updates.name == m_self.name) {
+        refute(updates);
         return;
     }
-    const auto it = m_members.find(news.name);
-    if (it == m_members.end() && news.state == MemberState::Dead)
+    const auto it = m_members.find(updates.name);
+    if (it == m_members.end() && updates.state == MemberState::Dead)
         return;
-    if (it != m_members.end() && !overrides(news, it->second))
+    if (it != m_members.end() && !overrides(updates, it->second))
         return;
-    noteState(news, passOn);
+    applyUpdate(updates, disseminate);
 }
 
-void Membership::noteState(const Member &news, bool passOn)
+void Membership::applyUpdate(const Member &updates, bool disseminate)
 {
-    const auto old = m_members.find(news.name);
+    const auto old = m_members.find(updates.name);
     const bool isNew = old == m_members.end();
-    const bool stateChanged = isNew || old->second.state != news.state;
-    Member &member = m_members[news.name];
+    const bool stateChanged = isNew || old->second.state != updates.state;
+    Member &member = m_members[updates.name];
     const Member before = member;
-    member = news;
+    member = updates;
     member.load = before.load;
-    member.heardAt = before.heardAt;
-    if (passOn)
-        m_news.add(news);
+    member.loadReceivedAt = before.loadReceivedAt;
+    if (disseminate)
+        m_updates.add(updates);
     if (isNew)
         m_order.insert(
                 m_order.begin()
                         + static_cast<std::ptrdiff_t>(below(m_options.random, m_order.size() + 1)),
-                news.name);
-    m_candidates.erase(news.name);
+                updates.name);
+    m_candidates.erase(updates.name);
     const TimePoint now = m_options.clock.now();
-    if (news.state == MemberState::Suspect)
-        m_deadlines[news.name] = now + suspicionTime();
-    else if (news.state == MemberState::Dead)
-        m_deadlines[news.name] = now + m_options.timing.deadKept;
+    if (updates.state == MemberState::Suspect)
+        m_deadlines[updates.name] = now + suspicionTime();
+    else if (updates.state == MemberState::Dead)
+        m_deadlines[updates.name] = now + m_options.timing.deadRetention;
     else
-        m_deadlines.erase(news.name);
+        m_deadlines.erase(updates.name);
     if (!stateChanged)
         return;
     // Death and leaving take callers off an address, so they don't wait for the next probe.
-    m_gossipWanted =
-            m_gossipWanted || news.state == MemberState::Dead || news.state == MemberState::Leaving;
+    m_gossipPending = m_gossipPending || updates.state == MemberState::Dead
+            || updates.state == MemberState::Leaving;
     m_changed.emit(member);
 }
 
-void Membership::acceptAboutSelf(const Member &news)
+void Membership::refute(const Member &updates)
 {
-    const bool wrong = news.state != m_self.state;
-    if (news.incarnation < m_self.incarnation || (!wrong && news.incarnation == m_self.incarnation))
+    const bool wrong = updates.state != m_self.state;
+    if (updates.incarnation < m_self.incarnation
+        || (!wrong && updates.incarnation == m_self.incarnation))
         return;
-    m_self.incarnation = news.incarnation + 1;
-    m_news.add(m_self);
-    m_gossipWanted = true;
+    m_self.incarnation = updates.incarnation + 1;
+    m_updates.add(m_self);
+    m_gossipPending = true;
 }
 
 void Membership::answerPingRequest(const std::string &address, const PeerMessage &message)
@@ -226,7 +227,7 @@
     m_relays[id] = {.address = address, .probe = message.probe, .sent = m_options.clock.now()};
     PeerMessage ping = compose(PeerMessageKind::Ping, message.target);
     ping.probe = id;
-    ping.news = m_news.take(newsRoom(), maxSends());
+    ping.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
     m_options.send(message.targetAddress, std::move(ping));
 }
 
@@ -244,11 +245,11 @@
 void Membership::poll()
 {
     const TimePoint now = m_options.clock.now();
-    if (now >= nextTry())
-        repeatProbe();
-    if (now >= m_gossipAgain) {
-        m_gossipAgain = TimePoint::max();
-        m_self.state == MemberState::Leaving ? tellLeaving() : gossipNow();
+    if (now >= nextAttempt())
+        retryProbe();
+    if (now >= m_gossipRepeatAt) {
+        m_gossipRepeatAt = TimePoint::max();
+        m_self.state == MemberState::Leaving ? announceLeave() : gossipNow();
     }
     if (now >= m_nextPeriod) {
         endProbe();
@@ -262,13 +263,13 @@
     }
     if (now >= m_nextSync)
         startSync();
-    if (m_gossipWanted)
+    if (m_gossipPending)
         gossip();
 }
 
 TimePoint Membership::nextDeadline() const
 {
-    return std::min({m_nextPeriod, m_nextSync, m_gossipAgain, nextTry()});
+    return std::min({m_nextPeriod, m_nextSync, m_gossipRepeatAt, nextAttempt()});
 }
 
 std::string Membership::nextTarget()
@@ -293,8 +294,8 @@
 
 void Membership::startProbe()
 {
-    joinThroughSeeds();
-    const std::string name = m_again.empty() ? nextTarget() : m_again;
+    contactCandidates();
+    const std::string name = m_retryTarget.empty() ? nextTarget() : m_retryTarget;
     if (!m_members.contains(name))
         return;
     m_probe = Probe{.target = name, .id = m_nextId++, .sent = m_options.clock.now()};
@@ -303,25 +304,25 @@
     const Member &member = m_members.at(name);
     // A suspect hears of the suspicion from everybody who probes it, so that it can refute it.
     if (member.state == MemberState::Suspect)
-        ping.news = {member};
+        ping.updates = {member};
     sendTo(member, std::move(ping));
 }
 
-TimePoint Membership::nextTry() const
+TimePoint Membership::nextAttempt() const
 {
-    constexpr int AllTries = 3;
-    if (!m_probe || m_probe->answered || m_probe->tries >= AllTries)
+    constexpr int MaxAttempts = 3;
+    if (!m_probe || m_probe->answered || m_probe->attempts >= MaxAttempts)
         return TimePoint::max();
-    return m_probe->sent + m_options.timing.ackTimeout * m_probe->tries;
+    return m_probe->sent + m_options.timing.ackTimeout * m_probe->attempts;
 }
 
 /// A lost datagram is far more likely than a broken path, so the cheap repetition goes before the
 /// dozen messages of probes by others.
-void Membership::repeatProbe()
+void Membership::retryProbe()
 {
     const auto it = m_members.find(m_probe->target);
-    if (++m_probe->tries > 2) {
-        askOthers();
+    if (++m_probe->attempts > 2) {
+        probeIndirectly();
     } else if (it != m_members.end()) {
         PeerMessage again = compose(PeerMessageKind::Ping, it->first);
         again.probe = m_probe->id;
@@ -329,7 +330,7 @@
     }
 }
 
-void Membership::askOthers()
+void Membership::probeIndirectly()
 {
     const auto it = m_members.find(m_probe->target);
     if (it == m_members.end())
@@ -350,7 +351,7 @@
         return;
     const Probe probe = *m_probe;
     m_probe.reset();
-    const bool isSecond = std::exchange(m_again, {}) == probe.target;
+    const bool isSecond = std::exchange(m_retryTarget, {}) == probe.target;
     const auto it = m_members.find(probe.target);
     if (probe.answered || it == m_members.end())
         return;
@@ -360,19 +361,19 @@
     // Each suspicion is news to all and so is its refutation: at a loss of a fifth they would take
     // the whole byte limit of 90 routers. A second failed probe in a row costs a second's delay.
     if (!isSecond) {
-        m_again = probe.target;
+        m_retryTarget = probe.target;
         return;
     }
-    Member news = it->second;
-    if (news.state == MemberState::Alive)
-        news.state = MemberState::Suspect;
-    else if (news.state == MemberState::Leaving)
-        news.state = MemberState::Dead;
-    if (overrides(news, it->second))
-        noteState(news);
+    Member updates = it->second;
+    if (updates.state == MemberState::Alive)
+        updates.state = MemberState::Suspect;
+    else if (updates.state == MemberState::Leaving)
+        updates.state = MemberState::Dead;
+    if (overrides(updates, it->second))
+        applyUpdate(updates);
 }
 
-void Membership::joinThroughSeeds()
+void Membership::contactCandidates()
 {
     std::vector<std::string> addresses;
     for (const auto &[name, address] : m_candidates) {
@@ -383,7 +384,7 @@
     for (std::size_t i = 0; i < CandidatesPerPeriod && !addresses.empty(); ++i) {
         const std::size_t at = below(m_options.random, addresses.size());
         PeerMessage request = compose(PeerMessageKind::SyncRequest, {});
-        request.news = {m_self};
+        request.updates = {m_self};
         m_options.send(addresses[at], std::move(request));
         addresses.erase(addresses.begin() + static_cast<std::ptrdiff_t>(at));
     }
@@ -401,7 +402,7 @@
         Member member = m_members.at(name);
         if (member.state == MemberState::Suspect) {
             member.state = MemberState::Dead;
-            noteState(member);
+            applyUpdate(member);
         } else {
             m_deadlines.erase(name);
             m_members.erase(name);
@@ -430,7 +431,7 @@
     for (const Member *it : randomMembers(1, {})) {
         PeerMessage request = compose(PeerMessageKind::SyncRequest, it->name);
         request.target = m_syncAfter.value_or("");
-        request.news = {m_self};
+        request.updates = {m_self};
         // The hash spares the pages where the lists agree, which is nearly always.
         if (request.target.empty())
             request.listHash = listHash();
@@ -458,13 +459,13 @@
         return;
     PeerMessage page = compose(PeerMessageKind::Sync, message.from);
     if (message.target.empty())
-        page.news.push_back(m_self);
+        page.updates.push_back(m_self);
     auto it = m_members.upper_bound(message.target);
     if (message.listHash != 0 && message.listHash == listHash())
         it = m_members.end();
-    for (; it != m_members.end() && page.news.size() < SyncPage; ++it) {
+    for (; it != m_members.end() && page.updates.size() < SyncPage; ++it) {
         if (it->first != message.from)
-            page.news.push_back(it->second);
+            page.updates.push_back(it->second);
     }
     if (it != m_members.end())
         page.target = std::prev(it)->first;
@@ -489,9 +490,9 @@
     // Where the byte limit leaves no room now, it stays wanted.
     if (m_options.mayDefer && !m_options.mayDefer())
         return;
-    m_gossipWanted = false;
+    m_gossipPending = false;
     gossipNow();
-    m_gossipAgain = m_options.clock.now() + GossipPause;
+    m_gossipRepeatAt = m_options.clock.now() + GossipPause;
 }
 
 void Membership::gossipNow()
@@ -524,29 +525,29 @@
 {
     m_self.state = MemberState::Leaving;
     ++m_self.incarnation;
-    m_news.add(m_self);
-    m_untold.clear();
+    m_updates.add(m_self);
+    m_leaveRecipients.clear();
     for (const Member *it : randomMembers(m_members.size(), {}))
-        m_untold.push_back(it->name);
-    tellLeaving();
+        m_leaveRecipients.push_back(it->name);
+    announceLeave();
 }
 
 /// Load: a router that stops, in a fleet of any size. Harm prevented: news that others pass on a
 /// bounded number of times may miss a member, which then names the stopped router to callers until
 /// probes fail. Whoever leaves tells members itself, as many as it has time for.
-void Membership::tellLeaving()
+void Membership::announceLeave()
 {
-    for (int i = 0; i < m_options.timing.gossipFanout && !m_untold.empty(); ++i) {
-        const auto it = m_members.find(m_untold.back());
-        m_untold.pop_back();
+    for (int i = 0; i < m_options.timing.gossipFanout && !m_leaveRecipients.empty(); ++i) {
+        const auto it = m_members.find(m_leaveRecipients.back());
+        m_leaveRecipients.pop_back();
         if (it == m_members.end())
             continue;
         PeerMessage told = compose(PeerMessageKind::Gossip, it->first);
-        told.news = {m_self};
+        told.updates = {m_self};
         sendTo(it->second, std::move(told));
     }
-    if (!m_untold.empty())
-        m_gossipAgain = m_options.clock.now() + GossipPause;
+    if (!m_leaveRecipients.empty())
+        m_gossipRepeatAt = m_options.clock.now() + GossipPause;
 }
 
 std::size_t Membership::liveCount() const
--- a/src/Control/Membership.h
+++ b/src/Control/Membership.h
@@ -3,7 +3,7 @@
 #include "Base/Clock.h"
 #include "Base/Random.h"
 #include "Base/VmList.h"
-#include "Control/NewsQueue.h"
+#include "Control/MemberUpdateQueue.h"
 #include "Control/PeerMessage.h"
 
 #include <sigc++/signal.h>
@@ -35,7 +35,7 @@
         Duration ackTimeout = std::chrono::milliseconds(300);
         int indirectProbes = 3; ///< How many are asked.
         double suspicionPeriods = 2; ///< Periods of suspicion for each factor of ten in size.
-        Duration deadKept = std::chrono::minutes(2); ///< How long a dead member is remembered.
+        Duration deadRetention = std::chrono::minutes(2); ///< How long a dead member is remembered.
         Duration syncInterval = std::chrono::minutes(2); ///< Between comparisons of whole lists.
         int gossipFanout = 3; ///< Members told at once of urgent news, twice over.
     };
@@ -88,7 +88,7 @@
     std::size_t liveCount() const;
 
     /// \returns when a message last came in; TimePoint::min() before the first.
-    TimePoint lastHeard() const { return m_lastHeard; }
+    TimePoint lastReceivedAt() const { return m_lastReceivedAt; }
 
     /// \returns the address of a random live member, empty where none is known.
     std::string randomAddress();
@@ -102,7 +102,7 @@
         std::string target;
         std::uint64_t id = 0;
         TimePoint sent;
-        int tries = 1; ///< Own probe, its repetition, probes by others.
+        int attempts = 1; ///< Own probe, its repetition, probes by others.
         bool answered = false;
     };
     struct Relay
@@ -112,10 +112,10 @@
         TimePoint sent;
     };
 
-    void accept(const Member &news, bool passOn);
-    void acceptAboutSelf(const Member &news);
-    void heardFrom(const std::string &address, const PeerMessage &message);
-    void noteState(const Member &news, bool passOn = true);
+    void accept(const Member &update, bool disseminate);
+    void refute(const Member &update);
+    void handleSender(const std::string &address, const PeerMessage &message);
+    void applyUpdate(const Member &update, bool disseminate = true);
     void answerPingRequest(const std::string &address, const PeerMessage &message);
     void relayAck(const PeerMessage &message);
     void answerSync(const std::string &address, const PeerMessage &message);
@@ -123,20 +123,20 @@
     void requestPage();
     std::uint64_t listHash() const;
     void startProbe();
-    void repeatProbe();
-    void askOthers();
-    TimePoint nextTry() const;
+    void retryProbe();
+    void probeIndirectly();
+    TimePoint nextAttempt() const;
     void endProbe();
-    void joinThroughSeeds();
+    void contactCandidates();
     void expire();
     void startSync();
     void gossipNow();
-    void tellLeaving();
+    void announceLeave();
     std::string nextTarget();
     std::vector<const Member *> randomMembers(std::size_t n, std::string_view except);
     Duration suspicionTime() const;
     int maxSends() const;
-    std::size_t newsRoom() const;
+    std::size_t maxUpdatesPerMessage() const;
     void sendTo(const Member &member, PeerMessage message);
 
     Options m_options;
@@ -146,18 +146,19 @@
     std::map<std::string, TimePoint, std::less<>> m_deadlines; ///< Of the suspect and the dead.
     std::vector<std::string> m_order; ///< Rest of this round of probes.
     std::map<std::string, std::string> m_candidates; ///< Addresses to try, by name if known.
-    NewsQueue m_news;
+    MemberUpdateQueue m_updates;
     std::optional<Probe> m_probe;
-    std::string m_again; ///< Member whose last probe failed, to be probed once more.
+    std::string m_retryTarget; ///< Member whose last probe failed, to be probed once more.
     std::map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_nextId = 1;
     TimePoint m_nextPeriod;
     TimePoint m_nextSync;
     std::optional<std::string> m_syncAfter; ///< Member after which the next page begins.
-    TimePoint m_gossipAgain = TimePoint::max();
-    std::vector<std::string> m_untold; ///< Members that are still to be told that this one leaves.
-    TimePoint m_lastHeard = TimePoint::min();
-    bool m_gossipWanted = false;
+    TimePoint m_gossipRepeatAt = TimePoint::max();
+    std::vector<std::string>
+            m_leaveRecipients; ///< Members that are still to be told that this one leaves.
+    TimePoint m_lastReceivedAt = TimePoint::min();
+    bool m_gossipPending = false;
     sigc::signal<void(const Member &)> m_changed;
 };
 
--- a/src/Control/OrderController.cpp
+++ b/src/Control/OrderController.cpp
@@ -21,9 +21,9 @@
 constexpr Duration MaxBackOff = 60s;
 
 /// While a load waits for a slot of the weight store.
-constexpr Duration SlotDelay = 5s;
+constexpr Duration SlotRetryDelay = 5s;
 
-bool wantsTheSame(const Engine &a, const Engine &b)
+bool sameTargetState(const Engine &a, const Engine &b)
 {
     return a.address == b.address && a.model == b.model && a.version == b.version
             && a.adapters == b.adapters && a.role == b.role && a.leaving == b.leaving
@@ -42,16 +42,16 @@
 void OrderController::setInventory(InventoryPtr inventory)
 {
     m_inventory = std::move(inventory);
-    for (std::size_t i = 0; i < OrderGroups; ++i)
-        m_wantedGroups[i] = m_options.isFirst(hash64("orders", i));
+    for (std::size_t i = 0; i < OrderGroupCount; ++i)
+        m_wantedGroups[i] = m_options.isPrimaryFor(hash64("orders", i));
     rebuild();
 }
 
 void OrderController::routersChanged()
 {
-    std::vector<bool> wanted(OrderGroups);
-    for (std::size_t i = 0; i < OrderGroups; ++i)
-        wanted[i] = m_options.isFirst(hash64("orders", i));
+    std::vector<bool> wanted(OrderGroupCount);
+    for (std::size_t i = 0; i < OrderGroupCount; ++i)
+        wanted[i] = m_options.isPrimaryFor(hash64("orders", i));
     if (wanted == m_wantedGroups || !m_inventory)
         return;
     m_wantedGroups = std::move(wanted);
@@ -71,7 +71,7 @@
     m_targets = std::move(next);
     for (auto &it : m_groups)
         it.second.lease->setWanted(!it.second.engines.empty());
-    forgetLostLoads();
+    dropLostLoads();
 }
 
 void OrderController::addTarget(const Engine &engine, std::map<std::string, Target> &into)
@@ -79,12 +79,12 @@
     const std::size_t group = orderGroupOf(engine.name);
     Group &it = m_groups[group];
     if (!it.lease) {
-        it.lease = std::make_unique<LeaseKeeper>(
-                LeaseKeeper::Options{.clock = m_options.clock,
-                                     .random = [this] { return m_options.random(); },
-                                     .table = m_options.table,
-                                     .key = orderLeaseKey(group),
-                                     .self = m_options.self});
+        it.lease = std::make_unique<LeaseManager>(
+                LeaseManager::Options{.clock = m_options.clock,
+                                      .random = [this] { return m_options.random(); },
+                                      .table = m_options.table,
+                                      .key = orderLeaseKey(group),
+                                      .self = m_options.self});
     }
     it.engines.push_back(engine.name);
     Target &target = into[engine.name];
@@ -93,7 +93,7 @@
     const auto old = m_targets.find(engine.name);
     if (old != m_targets.end())
         target = std::move(old->second);
-    if (old == m_targets.end() || !wantsTheSame(target.wanted, engine))
+    if (old == m_targets.end() || !sameTargetState(target.wanted, engine))
         target.nextCheck = m_options.clock.now();
     target.wanted = engine;
     target.group = group;
@@ -101,7 +101,7 @@
 
 void OrderController::poll()
 {
-    forgetLostLoads();
+    dropLostLoads();
     m_weights.poll();
     for (auto &it : m_groups)
         it.second.lease->poll();
@@ -131,7 +131,7 @@
                           [](const auto &it) { return it.second.lease->fence().has_value(); }));
 }
 
-std::vector<OrderController::Target *> OrderController::targetsHeld()
+std::vector<OrderController::Target *> OrderController::heldTargets()
 {
     std::vector<Target *> out;
     for (const auto &it : m_groups) {
@@ -149,7 +149,7 @@
     if (m_nextReading > now)
         return;
     Target *best = nullptr;
-    for (Target *it : targetsHeld()) {
+    for (Target *it : heldTargets()) {
         if (!it->busy && it->nextCheck <= now && (!best || it->nextCheck < best->nextCheck))
             best = it;
     }
@@ -178,29 +178,29 @@
 
 void OrderController::check(const std::string &name, Target &target)
 {
-    checkAgainIn(target, m_options.checkInterval);
+    scheduleCheck(target, m_options.checkInterval);
     target.busy = true;
     m_options.engines.readState(
             target.wanted.address,
             receiver<EngineState>(name, [this, name](Target &it, const auto &state) {
                 if (state)
-                    learned(name, state.value());
+                    handleState(name, state.value());
                 else
-                    failed(it, "reading its state", state.error());
+                    handleFailure(it, "reading its state", state.error());
             }));
 }
 
-void OrderController::checkAgainIn(Target &target, Duration delay)
+void OrderController::scheduleCheck(Target &target, Duration delay)
 {
     target.nextCheck = m_options.clock.now() + delay;
 }
 
-void OrderController::failed(Target &target, std::string_view what, const Error &error)
+void OrderController::handleFailure(Target &target, std::string_view what, const Error &error)
 {
     const int doublings = std::min(++target.failures, 10);
     const Duration delay = std::min(ReadBackDelay * (1 << doublings), MaxBackOff);
-    checkAgainIn(target, scaled(delay, 0.5 + uniform(m_options.random)));
-    noLoad(target.wanted.name);
+    scheduleCheck(target, scaled(delay, 0.5 + uniform(m_options.random)));
+    cancelLoad(target.wanted.name);
     m_options.metrics.count("catkinloft_engine_control_failures_total",
                             Metrics::label("reason", error.reason));
     Log::warning("engine_control_failed",
@@ -211,57 +211,57 @@
                   {"verdict", toString(error.verdict)}});
 }
 
-void OrderController::noLoad(const std::string &name)
+void OrderController::cancelLoad(const std::string &name)
 {
-    m_loads.erase(name);
-    if (m_loading == name)
-        m_loading.clear();
-    m_weights.setWanted(!m_loads.empty());
+    m_pendingLoads.erase(name);
+    if (m_loadingEngine == name)
+        m_loadingEngine.clear();
+    m_weights.setWanted(!m_pendingLoads.empty());
 }
 
-void OrderController::forgetLostLoads()
+void OrderController::dropLostLoads()
 {
     const auto isLost = [this](const std::string &name) {
         const auto it = m_targets.find(name);
         return it == m_targets.end() || (!it->second.busy && !leaseOf(it->second).fence());
     };
-    std::erase_if(m_loads, isLost);
-    if (!m_loads.contains(m_loading))
-        m_loading.clear();
-    m_weights.setWanted(!m_loads.empty());
+    std::erase_if(m_pendingLoads, isLost);
+    if (!m_pendingLoads.contains(m_loadingEngine))
+        m_loadingEngine.clear();
+    m_weights.setWanted(!m_pendingLoads.empty());
 }
 
-void OrderController::learned(const std::string &name, const EngineState &state)
+void OrderController::handleState(const std::string &name, const EngineState &state)
 {
     Target &target = m_targets.at(name);
-    LeaseKeeper &lease = leaseOf(target);
+    LeaseManager &lease = leaseOf(target);
     const auto fence = lease.fence();
     if (!fence)
         return; // Whoever holds it now reads for itself.
     if (target.wanted.checksFencing && state.fence > *fence) {
         // Its row is younger than what the engine saw, as after a rename: raised before any order.
         if (lease.raiseFence(state.fence))
-            checkAgainIn(target, ReadBackDelay);
+            scheduleCheck(target, ReadBackDelay);
         else
-            failed(target, "reading its state",
-                   {.reason = Reason::UpstreamBroken,
-                    .detail = "it says that it saw a fencing number that can't be"});
+            handleFailure(target, "reading its state",
+                          {.reason = Reason::UpstreamBroken,
+                           .detail = "it says that it saw a fencing number that can't be"});
         return;
     }
     auto step = nextOrderStep(target.wanted, state, target.loadedVersion);
     if (step)
         step->revision = m_inventory->revision;
     if (!step || !step->needsWeights)
-        noLoad(name);
+        cancelLoad(name);
     if (!step) {
         target.failures = 0;
         target.lastCause.clear();
     } else if (step->withheld) {
         withhold(target, *step);
     } else if (!step->needsWeights) {
-        prepare(name, *step);
-    } else if (mayLoad(name, target)) {
-        askWeights(name, *step);
+        confirmLease(name, *step);
+    } else if (acquireLoadSlot(name, target)) {
+        requestWeights(name, *step);
     }
 }
 
@@ -278,47 +278,47 @@
                   {"cause", step.cause}});
 }
 
-bool OrderController::mayLoad(const std::string &name, Target &target)
+bool OrderController::acquireLoadSlot(const std::string &name, Target &target)
 {
-    m_loads.insert(name);
+    m_pendingLoads.insert(name);
     m_weights.setWanted(true);
     // One load at a time, for this router has one slot.
-    if ((m_loading.empty() || m_loading == name) && m_weights.mayAsk()) {
-        m_loading = name;
+    if ((m_loadingEngine.empty() || m_loadingEngine == name) && m_weights.mayAsk()) {
+        m_loadingEngine = name;
         return true;
     }
-    checkAgainIn(target, SlotDelay);
+    scheduleCheck(target, SlotRetryDelay);
     return false;
 }
 
-void OrderController::askWeights(const std::string &name, const OrderStep &step)
+void OrderController::requestWeights(const std::string &name, const OrderStep &step)
 {
     if (step.order.kind != OrderKind::LoadModel || step.order.version.empty()) {
-        prepare(name, step);
+        confirmLease(name, step);
         return;
     }
     m_targets.at(name).busy = true;
-    m_options.engines.askWeights(
+    m_options.engines.requestWeights(
             step.order.model, step.order.version,
             receiver<void>(name, [this, name, step](Target &target, const auto &answer) {
                 if (answer) {
-                    prepare(name, step);
+                    confirmLease(name, step);
                     return;
                 }
                 if (answer.error().retryAfter)
                     m_weights.backOff(*answer.error().retryAfter);
-                failed(target, "asking the weight store", answer.error());
+                handleFailure(target, "asking the weight store", answer.error());
                 if (answer.error().retryAfter)
                     target.nextCheck = std::max(target.nextCheck,
                                                 m_options.clock.now() + *answer.error().retryAfter);
             }));
 }
 
-void OrderController::prepare(const std::string &name, const OrderStep &step)
+void OrderController::confirmLease(const std::string &name, const OrderStep &step)
 {
     Target &target = m_targets.at(name);
     if (target.wanted.checksFencing) {
-        give(name, step);
+        sendOrder(name, step);
         return;
     }
     // The engine won't notice that the lease went to another, so the row is read right before.
@@ -331,18 +331,18 @@
             return;
         it->second.busy = false;
         if (isHeld)
-            give(name, step);
+            sendOrder(name, step);
     });
 }
 
-void OrderController::give(const std::string &name, const OrderStep &step)
+void OrderController::sendOrder(const std::string &name, const OrderStep &step)
 {
     Target &target = m_targets.at(name);
     // Asked right here: this process may have been paused since the state was read.
     const auto fence = leaseOf(target).fence();
     if (!fence || step.revision != m_inventory->revision) {
-        noLoad(name);
-        checkAgainIn(target, ReadBackDelay); // Worked out anew from what is wanted by then.
+        cancelLoad(name);
+        scheduleCheck(target, ReadBackDelay); // Worked out anew from what is wanted by then.
         return;
     }
     EngineOrder order = step.order;
@@ -356,19 +356,19 @@
                {"order_id", order.id},
                {"revision", m_inventory->revision}});
     target.busy = true;
-    m_options.engines.give(
+    m_options.engines.sendOrder(
             target.wanted.address, order,
             receiver<OrderAnswer>(name, [this, name, order](Target &it, const auto &answer) {
-                checkAgainIn(it, ReadBackDelay);
-                answered(name, order, answer);
+                scheduleCheck(it, ReadBackDelay);
+                handleAnswer(name, order, answer);
             }));
 }
 
-void OrderController::answered(const std::string &name, const EngineOrder &order,
-                               const Result<OrderAnswer> &answer)
+void OrderController::handleAnswer(const std::string &name, const EngineOrder &order,
+                                   const Result<OrderAnswer> &answer)
 {
     Target &target = m_targets.at(name);
-    noLoad(name);
+    cancelLoad(name);
     const auto count = [&](std::string_view result) {
         m_options.metrics.count("catkinloft_orders_total",
                                 Metrics::label("order", toString(order.kind)) + ","
@@ -376,7 +376,7 @@
     };
     if (!answer) {
         count("unknown"); // The read-back tells.
-        failed(target, "giving an order", answer.error());
+        handleFailure(target, "giving an order", answer.error());
     } else if (!answer.value().applied) {
         count("fenced");
         Log::warning("order_fenced",
--- a/src/Control/OrderController.h
+++ b/src/Control/OrderController.h
@@ -2,8 +2,8 @@
 
 #include "Base/Inventory.h"
 #include "Base/Metrics.h"
-#include "Control/EnginePort.h"
-#include "Control/LeaseKeeper.h"
+#include "Control/EngineClient.h"
+#include "Control/LeaseManager.h"
 #include "Control/OrderPlan.h"
 #include "Control/WeightBudget.h"
 
@@ -32,12 +32,12 @@
         const Clock &clock;
         RandomSource random;
         TableService &table;
-        EnginePort &engines;
+        EngineClient &engines;
         Metrics &metrics;
         std::string self; ///< Name of this router.
         /// Whether this router comes first for a key among the routers that it knows. A hint only:
         /// where two believe it, the lease decides.
-        std::function<bool(std::uint64_t key)> isFirst;
+        std::function<bool(std::uint64_t key)> isPrimaryFor;
         /// Shortest time between two readings of one engine: drift is repaired within it.
         Duration checkInterval = std::chrono::seconds(10);
         /// A reading is about 450 bytes with headers, so this is 15% of 3 KB/s. A group of 39
@@ -53,7 +53,7 @@
     /// are read first.
     void setInventory(InventoryPtr inventory);
 
-    /// \brief Asks isFirst() anew for each group.
+    /// \brief Asks isPrimaryFor() anew for each group.
     void routersChanged();
 
     void poll();
@@ -78,28 +78,28 @@
 
     struct Group
     {
-        std::unique_ptr<LeaseKeeper> lease;
+        std::unique_ptr<LeaseManager> lease;
         std::vector<std::string> engines;
     };
 
     void rebuild();
     void addTarget(const Engine &engine, std::map<std::string, Target> &into);
-    LeaseKeeper &leaseOf(const Target &target) { return *m_groups.at(target.group).lease; }
-    std::vector<Target *> targetsHeld();
+    LeaseManager &leaseOf(const Target &target) { return *m_groups.at(target.group).lease; }
+    std::vector<Target *> heldTargets();
     void checkMostOverdue();
     void check(const std::string &name, Target &target);
-    void learned(const std::string &name, const EngineState &state);
+    void handleState(const std::string &name, const EngineState &state);
     void withhold(Target &target, const OrderStep &step);
-    bool mayLoad(const std::string &name, Target &target);
-    void askWeights(const std::string &name, const OrderStep &step);
-    void prepare(const std::string &name, const OrderStep &step);
-    void give(const std::string &name, const OrderStep &step);
-    void answered(const std::string &name, const EngineOrder &order,
-                  const Result<OrderAnswer> &answer);
-    void failed(Target &target, std::string_view what, const Error &error);
-    void checkAgainIn(Target &target, Duration delay);
-    void noLoad(const std::string &name);
-    void forgetLostLoads();
+    bool acquireLoadSlot(const std::string &name, Target &target);
+    void requestWeights(const std::string &name, const OrderStep &step);
+    void confirmLease(const std::string &name, const OrderStep &step);
+    void sendOrder(const std::string &name, const OrderStep &step);
+    void handleAnswer(const std::string &name, const EngineOrder &order,
+                      const Result<OrderAnswer> &answer);
+    void handleFailure(Target &target, std::string_view what, const Error &error);
+    void scheduleCheck(Target &target, Duration delay);
+    void cancelLoad(const std::string &name);
+    void dropLostLoads();
 
     /// \returns \a then, called with the target if it is still there and this is too; whatever the
     /// answer, the call to the engine is over.
@@ -109,12 +109,12 @@
 
     Options m_options;
     InventoryPtr m_inventory;
-    std::vector<bool> m_wantedGroups = std::vector<bool>(OrderGroups);
+    std::vector<bool> m_wantedGroups = std::vector<bool>(OrderGroupCount);
     std::map<std::size_t, Group> m_groups;
     std::map<std::string, Target> m_targets; ///< Of the groups that are wanted here.
     WeightBudget m_weights;
-    std::set<std::string> m_loads; ///< Engines that need the weight store.
-    std::string m_loading; ///< The one of them that uses this router's slot; empty: none.
+    std::set<std::string> m_pendingLoads; ///< Engines that need the weight store.
+    std::string m_loadingEngine; ///< The one of them that uses this router's slot; empty: none.
     TimePoint m_nextReading; ///< Not before this one, for the budget.
     std::uint64_t m_orders = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/src/Control/OrderPlan.cpp
+++ b/src/Control/OrderPlan.cpp
@@ -25,7 +25,7 @@
 
 std::size_t orderGroupOf(std::string_view name)
 {
-    return hash64(name) % OrderGroups;
+    return hash64(name) % OrderGroupCount;
 }
 
 std::string orderLeaseKey(std::size_t group)
@@ -35,7 +35,7 @@
 
 namespace {
 
-bool getsRequests(const Engine &it)
+bool receivesRequests(const Engine &it)
 {
     return it.role == "serve" && !it.leaving;
 }
@@ -60,7 +60,7 @@
         return loadStep(wanted, std::move(cause));
     OrderStep out{.order = {.kind = OrderKind::SetVersion, .version = wanted.version},
                   .cause = std::move(cause)};
-    if (!wanted.checksFencing && getsRequests(wanted)) {
+    if (!wanted.checksFencing && receivesRequests(wanted)) {
         out.withheld = true;
         out.cause += "; it ignores fencing numbers, so mark it leaving or standby to change it";
     }
--- a/src/Control/OrderPlan.h
+++ b/src/Control/OrderPlan.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Inventory.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +17,7 @@
 /// Load: 10,000 engines before 890 routers. Reason for the number: 39 engines a group can be read
 /// back every 40 s within a router's budget, and 256 renewals every 15 s are 17 writes/s, 6% of
 /// 300. Only groups with engines have a lease: nine engines need at most nine.
-constexpr std::size_t OrderGroups = 256;
+constexpr std::size_t OrderGroupCount = 256;
 
 /// \returns the order group of the engine named \a name.
 std::size_t orderGroupOf(std::string_view name);
--- a/src/Control/PeerCatchUp.cpp
+++ b/src/Control/PeerCatchUp.cpp
@@ -9,29 +9,30 @@
 /// Parts of the time in which changes have to be in force. A router whose proof is older than the
 /// first has missed its reader for several asks; a peer that shows one younger than the second has
 /// just reached the store, and is asked at once.
-constexpr double OldProofPart = 1.25;
-constexpr double FreshProofPart = 0.5;
+constexpr double StaleProofFraction = 1.25;
+constexpr double FreshProofFraction = 0.5;
 
 } // namespace
 
-bool PeerCatchUp::isWorthAsking(const RouterBeat &beat, const Known &own) const
+bool PeerCatchUp::shouldFetchFrom(const RouterHeartbeat &heartbeat, const Known &own) const
 {
-    const bool fresh = beat.proofAge < scaled(m_options.configLimit, FreshProofPart);
-    const bool proof = fresh && own.proofAge > scaled(m_options.configLimit, OldProofPart);
-    const bool config = beat.revision > own.revision;
-    const bool replicas =
-            beat.replicasHash != own.replicasHash && beat.replicasVersion > own.replicasVersion;
-    return config || replicas || proof || (fresh && wantsPrompts());
+    const bool fresh = heartbeat.proofAge < scaled(m_options.configApplyLimit, FreshProofFraction);
+    const bool proof =
+            fresh && own.proofAge > scaled(m_options.configApplyLimit, StaleProofFraction);
+    const bool config = heartbeat.revision > own.revision;
+    const bool replicas = heartbeat.replicasHash != own.replicasHash
+            && heartbeat.replicasVersion > own.replicasVersion;
+    return config || replicas || proof || (fresh && needsPrompts());
 }
 
-void PeerCatchUp::promptsTold(bool any)
+void PeerCatchUp::promptsReceived(bool any)
 {
     m_emptyAnswers = any ? MaxEmptyAnswers : std::min(m_emptyAnswers + 1, MaxEmptyAnswers);
 }
 
 Duration PeerCatchUp::maxPeerProofAge() const
 {
-    return m_options.configLimit;
+    return m_options.configApplyLimit;
 }
 
 } // namespace catkinloft
--- a/src/Control/PeerCatchUp.h
+++ b/src/Control/PeerCatchUp.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/Clock.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 
 #include <cstdint>
 
@@ -18,31 +18,32 @@
 public:
     struct Options
     {
-        Duration configLimit = std::chrono::seconds(2); ///< In which changes have to be in force.
+        Duration configApplyLimit =
+                std::chrono::seconds(2); ///< In which changes have to be in force.
     };
 
     /// \brief Changes the time in which changes have to be in force.
-    void setConfigLimit(Duration limit) { m_options.configLimit = limit; }
+    void setConfigApplyLimit(Duration limit) { m_options.configApplyLimit = limit; }
 
     /// \brief What this router knows itself.
     struct Known
     {
         std::uint64_t revision = 0; ///< Of the configuration in force.
-        Duration proofAge = Duration::max(); ///< \sa RouterBeat::proofAge
+        Duration proofAge = Duration::max(); ///< \sa RouterHeartbeat::proofAge
         std::uint64_t replicasHash = 0;
         std::uint64_t replicasVersion = 0;
     };
 
     explicit PeerCatchUp(Options options) : m_options(options) { }
 
-    /// \returns whether the sender of \a beat has something that \a own lacks.
-    bool isWorthAsking(const RouterBeat &beat, const Known &own) const;
+    /// \returns whether the sender of \a heartbeat has something that \a own lacks.
+    bool shouldFetchFrom(const RouterHeartbeat &heartbeat, const Known &own) const;
 
     /// \returns whether peers are to be asked which prompts are kept where.
-    bool wantsPrompts() const { return m_emptyAnswers < MaxEmptyAnswers; }
+    bool needsPrompts() const { return m_emptyAnswers < MaxEmptyAnswers; }
 
     /// \brief Notes that a peer told which prompts are kept, \a any of them or none.
-    void promptsTold(bool any);
+    void promptsReceived(bool any);
 
     /// \returns the oldest proof with which a peer is of help to a router whose own is too old.
     Duration maxPeerProofAge() const;
--- a/src/Control/PeerCodec.cpp
+++ b/src/Control/PeerCodec.cpp
@@ -116,7 +116,7 @@
                     .digest = digestOf(root["c"]),
                     .base = digestOf(root["cb"])};
     for (const Json::Value &it : root["n"])
-        out.news.push_back(memberOf(it));
+        out.updates.push_back(memberOf(it));
     for (const Json::Value &it : root["d"])
         out.delta.push_back(hunkOf(it));
     return out;
@@ -149,7 +149,7 @@
     putNumber(root, "l", message.load);
     putDigest(root, "c", message.digest);
     putDigest(root, "cb", message.base);
-    putList(root, "n", message.news);
+    putList(root, "n", message.updates);
     putList(root, "d", message.delta);
     return internal::encodeNotification(Method, root);
 }
--- a/src/Control/PeerMessage.h
+++ b/src/Control/PeerMessage.h
@@ -44,7 +44,7 @@
     std::uint64_t listHash = 0; ///< Of a SyncRequest: of the sender's whole list, 0 if unknown.
     std::uint32_t load = 0; ///< Requests in progress at the sender.
     ConfigDigest digest = {}; ///< The configuration in force at the sender.
-    std::vector<Member> news = {};
+    std::vector<Member> updates = {};
     ConfigDigest base = {};
     TextDelta delta = {};
 };
--- a/src/Control/PeerState.h
+++ b/src/Control/PeerState.h
@@ -29,7 +29,7 @@
     };
 
     std::uint64_t revision = 0; ///< Of the configuration in force; 0: none is.
-    Duration proofAge = Duration::max(); ///< \sa RouterBeat::proofAge
+    Duration proofAge = Duration::max(); ///< \sa RouterHeartbeat::proofAge
     std::optional<Packed> config = {}; ///< Only where the asker has an older one.
     std::uint64_t configBase = 0; ///< Revision that \a config is a change of; 0: it is whole.
     EvacuatedDomains::State evacuated = {};
--- a/src/Control/PromptSurvey.cpp
+++ b/src/Control/PromptDiscovery.cpp
@@ -1,4 +1,4 @@
-#include "Control/PromptSurvey.h"
+#include "Control/PromptDiscovery.h"
 
 #include "Base/Hash.h"
 #include "Decide/Rendezvous.h"
@@ -8,26 +8,26 @@
 
 namespace catkinloft {
 
-void PromptSurvey::setRouters(std::span<const RegisteredRouter> routers)
+void PromptDiscovery::setRouters(std::span<const RegisteredRouter> routers)
 {
     m_routers.emplace();
     for (const RegisteredRouter &it : routers)
         m_routers->push_back(it.peerAddress);
 }
 
-std::vector<ReplicaRecord> PromptSurvey::due(std::span<const ReplicaRecord> engines)
+std::vector<ReplicaRecord> PromptDiscovery::due(std::span<const ReplicaRecord> engines)
 {
     std::vector<ReplicaRecord> out;
     if (!m_routers || engines.empty())
         return out;
-    if (!m_begin)
-        m_begin = m_options.clock.now();
-    if (isOver())
+    if (!m_startedAt)
+        m_startedAt = m_options.clock.now();
+    if (isFinished())
         return out;
     const int round = currentRound();
     for (const ReplicaRecord &it : engines) {
         const std::string incarnation = it.incarnation();
-        if (m_listed.contains(incarnation) || rankFor(incarnation) > round)
+        if (m_discovered.contains(incarnation) || rankFor(incarnation) > round)
             continue;
         if (m_asked.insert(incarnation).second)
             out.push_back(it);
@@ -35,27 +35,27 @@
     return out;
 }
 
-std::vector<std::uint64_t> PromptSurvey::toTell(std::span<const PromptPart> kept,
-                                                std::size_t engines) const
+std::vector<std::uint64_t> PromptDiscovery::partsToAnnounce(std::span<const PromptPart> cached,
+                                                            std::size_t engines) const
 {
-    std::vector<PromptPart> parts(kept.begin(), kept.end());
+    std::vector<PromptPart> parts(cached.begin(), cached.end());
     std::stable_sort(parts.begin(), parts.end(),
                      [](const PromptPart &a, const PromptPart &b) { return a.tokens > b.tokens; });
-    const std::size_t n = m_options.maxTold / std::max<std::size_t>(1, engines);
+    const std::size_t n = m_options.maxAnnouncedParts / std::max<std::size_t>(1, engines);
     std::vector<std::uint64_t> out;
     for (std::size_t i = 0; i < std::min(n, parts.size()); ++i)
         out.push_back(parts[i].id);
     return out;
 }
 
-std::vector<std::string> PromptSurvey::toBeTold(const std::string &incarnation) const
+std::vector<std::string> PromptDiscovery::receiversFor(const std::string &incarnation) const
 {
     const std::uint64_t key = hash64(incarnation);
     std::vector<std::pair<double, std::string>> order;
     for (const std::string &it : m_routers.value_or(std::vector<std::string>()))
         order.emplace_back(-rendezvousScore(key, hash64(it), 1), it);
     std::sort(order.begin(), order.end());
-    order.resize(std::min(order.size(), m_options.maxListeners));
+    order.resize(std::min(order.size(), m_options.maxReceivers));
     std::vector<std::string> out;
     out.reserve(order.size());
     for (auto &[score, address] : order)
@@ -63,20 +63,20 @@
     return out;
 }
 
-bool PromptSurvey::isOver() const
+bool PromptDiscovery::isFinished() const
 {
     const int round = currentRound();
-    return round >= m_options.rounds || (m_peerKnows && round > 0);
+    return round >= m_options.rounds || (m_peerStateReceived && round > 0);
 }
 
-int PromptSurvey::currentRound() const
+int PromptDiscovery::currentRound() const
 {
-    if (!m_begin)
+    if (!m_startedAt)
         return 0;
-    return static_cast<int>((m_options.clock.now() - *m_begin) / m_options.round);
+    return static_cast<int>((m_options.clock.now() - *m_startedAt) / m_options.round);
 }
 
-int PromptSurvey::rankFor(const std::string &incarnation) const
+int PromptDiscovery::rankFor(const std::string &incarnation) const
 {
     const std::uint64_t key = hash64(incarnation);
     const double own = rendezvousScore(key, hash64(m_options.self), 1);
--- a/src/Control/PromptSurvey.h
+++ b/src/Control/PromptDiscovery.h
@@ -25,7 +25,7 @@
 /// as much as a small request. An engine of which nothing was told a round later is asked by the
 /// next router of its order, since the first may be gone for good. A router that doesn't know the
 /// others asks nobody: hundreds that each ask every engine keep the engines from their work.
-class PromptSurvey
+class PromptDiscovery
 {
 public:
     struct Options
@@ -38,37 +38,38 @@
         /// Parts that a router is told of all engines together, some 25 bytes each. Hundreds of
         /// engines keep ten times as many, which would cost the weakest VMs seconds of their
         /// processor just as callers return.
-        std::size_t maxTold = 12'000;
+        std::size_t maxAnnouncedParts = 12'000;
         /// Routers that are told of one engine, since hundreds of lists that each go to hundreds of
         /// routers delay the first requests after the start.
-        std::size_t maxListeners = 78;
+        std::size_t maxReceivers = 78;
     };
 
-    explicit PromptSurvey(Options options) : m_options(std::move(options)) { }
+    explicit PromptDiscovery(Options options) : m_options(std::move(options)) { }
 
     /// \brief Takes over the other registered routers.
     void setRouters(std::span<const RegisteredRouter> routers);
 
     /// \brief Notes that the list of \a incarnation is known.
-    void listed(const std::string &incarnation) { m_listed.insert(incarnation); }
+    void discovered(const std::string &incarnation) { m_discovered.insert(incarnation); }
 
     /// \brief Notes that a router which runs for longer tells this one what it knows: engines that
     /// were not asked by now need not be.
-    void peerKnows() { m_peerKnows = true; }
+    void peerStateReceived() { m_peerStateReceived = true; }
 
     /// \returns which of \a engines this router has to ask now; each is named once.
     std::vector<ReplicaRecord> due(std::span<const ReplicaRecord> engines);
 
     /// \returns which of the parts that one of \a engines keeps the other routers are told, the
     /// largest first: what is not told may be read again.
-    std::vector<std::uint64_t> toTell(std::span<const PromptPart> kept, std::size_t engines) const;
+    std::vector<std::uint64_t> partsToAnnounce(std::span<const PromptPart> cached,
+                                               std::size_t engines) const;
 
     /// \returns the peer addresses of the routers that are told what \a incarnation keeps: those
     /// that would ask it next come first.
-    std::vector<std::string> toBeTold(const std::string &incarnation) const;
+    std::vector<std::string> receiversFor(const std::string &incarnation) const;
 
     /// \returns whether nothing will be due any more.
-    bool isOver() const;
+    bool isFinished() const;
 
 private:
     int currentRound() const;
@@ -76,10 +77,10 @@
 
     Options m_options;
     std::optional<std::vector<std::string>> m_routers; ///< Addresses of the others, once known.
-    std::optional<TimePoint> m_begin; ///< Engines and routers were known for the first time.
-    std::set<std::string> m_listed;
+    std::optional<TimePoint> m_startedAt; ///< Engines and routers were known for the first time.
+    std::set<std::string> m_discovered;
     std::set<std::string> m_asked;
-    bool m_peerKnows = false;
+    bool m_peerStateReceived = false;
 };
 
 } // namespace catkinloft
--- a/src/Control/PromptNews.cpp
+++ b/src/Control/PromptUpdates.cpp
@@ -1,4 +1,4 @@
-#include "Control/PromptNews.h"
+#include "Control/PromptUpdates.h"
 
 #include "Base/Hash.h"
 
@@ -12,24 +12,24 @@
 
 /// A part that is in use all the time is told again after this, since who hears of it forgets it
 /// when it was not used for a minute.
-constexpr Duration TellAgain = 15s;
+constexpr Duration ReannounceInterval = 15s;
 
 /// News that waits: more only comes at a hundred new prompts a second, and is dropped.
 constexpr std::size_t MaxItems = 400;
 
 /// Remembered tellings; beyond it all are forgotten, which costs some that are told twice.
-constexpr std::size_t MaxNoted = 20'000;
+constexpr std::size_t MaxAnnounced = 20'000;
 
 } // namespace
 
-void PromptNews::note(const std::string &replica, std::span<const PromptPart> prompt)
+void PromptUpdates::note(const std::string &replica, std::span<const PromptPart> prompt)
 {
     const TimePoint now = m_clock.now();
-    if (m_noted.size() > MaxNoted)
-        m_noted.clear();
+    if (m_announcedAt.size() > MaxAnnounced)
+        m_announcedAt.clear();
     for (const PromptPart &it : prompt) {
-        const auto [entry, isNew] = m_noted.emplace(hashCombine(hash64(replica), it.id), now);
-        if (!isNew && now - entry->second < TellAgain)
+        const auto [entry, isNew] = m_announcedAt.emplace(hashCombine(hash64(replica), it.id), now);
+        if (!isNew && now - entry->second < ReannounceInterval)
             continue;
         entry->second = now;
         if (m_items.size() < MaxItems)
@@ -37,15 +37,15 @@
     }
 }
 
-PromptsByReplica PromptNews::take(std::size_t rounds, std::size_t most)
+PromptsByReplica PromptUpdates::take(std::size_t heartbeats, std::size_t maxParts)
 {
     PromptsByReplica out;
-    const std::size_t n = std::min(most, m_items.size());
+    const std::size_t n = std::min(maxParts, m_items.size());
     for (std::size_t i = 0; i < n; ++i) {
         out[m_items[i].replica].push_back(m_items[i].part);
         ++m_items[i].told;
     }
-    std::erase_if(m_items, [rounds](const Item &it) { return it.told >= rounds; });
+    std::erase_if(m_items, [heartbeats](const Item &it) { return it.told >= heartbeats; });
     return out;
 }
 
--- a/src/Control/PromptNews.h
+++ b/src/Control/PromptUpdates.h
@@ -16,16 +16,17 @@
 /// Load: 73 routers of which each beat reaches 16. Harm prevented: a router that does not hear that
 /// a replica keeps a prompt has it read again elsewhere. So news rides on as many beats as it takes
 /// to reach every router once, and what was told lately is not told again.
-class PromptNews
+class PromptUpdates
 {
 public:
-    explicit PromptNews(const Clock &clock) : m_clock(clock) { }
+    explicit PromptUpdates(const Clock &clock) : m_clock(clock) { }
 
     void note(const std::string &replica, std::span<const PromptPart> prompt);
 
     /// \returns what the next beat has to tell.
-    /// \param rounds beats that it takes to reach every router. \param most parts in one beat.
-    PromptsByReplica take(std::size_t rounds, std::size_t most);
+    /// \param heartbeats beats that it takes to reach every router. \param maxParts parts in one
+    /// beat.
+    PromptsByReplica take(std::size_t heartbeats, std::size_t maxParts);
 
 private:
     struct Item
@@ -37,7 +38,7 @@
 
     const Clock &m_clock;
     std::deque<Item> m_items;
-    std::unordered_map<std::uint64_t, TimePoint> m_noted; ///< By hash of replica and part.
+    std::unordered_map<std::uint64_t, TimePoint> m_announcedAt; ///< By hash of replica and part.
 };
 
 } // namespace catkinloft
--- a/src/Control/ReplicaRegistry.cpp
+++ b/src/Control/ReplicaRegistry.cpp
@@ -13,11 +13,11 @@
 
 /// How long it is remembered that a replica leaves which has no entry. Entries lapse while the
 /// store is away, and those that come back may be older than the word.
-constexpr Duration DrainMemory = std::chrono::minutes(2);
+constexpr Duration LeavingRetention = std::chrono::minutes(2);
 
 /// Lists that are remembered. A router asks for changes within a beat or two, in which a release
 /// changes the list a few times.
-constexpr std::size_t MaxEarlier = 8;
+constexpr std::size_t MaxPreviousLists = 8;
 
 const ReplicaRecord *findRecord(const std::vector<ReplicaRecord> &list, const std::string &id)
 {
@@ -27,16 +27,17 @@
 }
 
 /// Times that are read again differ by what the answer of the store took.
-bool isColdAlike(TimePoint a, TimePoint b)
+bool sameColdDeadline(TimePoint a, TimePoint b)
 {
     constexpr Duration Slack = std::chrono::milliseconds(200);
     return a - b <= Slack && b - a <= Slack;
 }
 
-std::vector<ReplicaRecord> dated(std::vector<ReplicaRecord> list, TimePoint readBegan)
+std::vector<ReplicaRecord> withColdDeadlines(std::vector<ReplicaRecord> list,
+                                             TimePoint readStartedAt)
 {
     for (ReplicaRecord &it : list)
-        it.coldUntil = it.coldFor > Duration::zero() ? readBegan + it.coldFor : TimePoint();
+        it.coldUntil = it.coldFor > Duration::zero() ? readStartedAt + it.coldFor : TimePoint();
     return list;
 }
 
@@ -53,41 +54,42 @@
 
 } // namespace
 
-void ReplicaRegistry::apply(const ReplicaSnapshot &snapshot, TimePoint readBegan)
+void ReplicaRegistry::apply(const ReplicaSnapshot &snapshot, TimePoint readStartedAt)
 {
-    take(dated(snapshot.replicas, readBegan), snapshot.storeVersion, readBegan);
+    replaceList(withColdDeadlines(snapshot.replicas, readStartedAt), snapshot.storeVersion,
+                readStartedAt);
 }
 
-void ReplicaRegistry::take(std::vector<ReplicaRecord> list, std::uint64_t storeVersion,
-                           TimePoint readBegan)
+void ReplicaRegistry::replaceList(std::vector<ReplicaRecord> list, std::uint64_t storeVersion,
+                                  TimePoint readStartedAt)
 {
     // Lists may come from the store and from other routers, and overtake each other.
     if (storeVersion < m_storeVersion)
         return;
-    noteOutage(readBegan);
+    detectOutage(readStartedAt);
     m_storeVersion = storeVersion;
     const std::uint64_t hash = hashOf(list);
     if (hash != m_hash)
-        remember(hash);
+        storePreviousList(hash);
     m_registered = std::move(list);
-    m_readAt = std::max(m_readAt, readBegan);
+    m_readAt = std::max(m_readAt, readStartedAt);
     update();
 }
 
-void ReplicaRegistry::remember(std::uint64_t hash)
+void ReplicaRegistry::storePreviousList(std::uint64_t hash)
 {
     if (m_hash != 0)
-        m_earlier.push_back({.hash = m_hash, .replicas = std::move(m_registered)});
-    if (m_earlier.size() > MaxEarlier)
-        m_earlier.pop_front();
+        m_previousLists.push_back({.hash = m_hash, .replicas = std::move(m_registered)});
+    if (m_previousLists.size() > MaxPreviousLists)
+        m_previousLists.pop_front();
     m_hash = hash;
 }
 
-bool ReplicaRegistry::applyUpdate(const ReplicaUpdate &update, TimePoint readBegan)
+bool ReplicaRegistry::applyUpdate(const ReplicaUpdate &update, TimePoint readStartedAt)
 {
     if (update.base != 0 && update.base != m_hash)
         return false;
-    std::vector<ReplicaRecord> next = dated(update.replicas, readBegan);
+    std::vector<ReplicaRecord> next = withColdDeadlines(update.replicas, readStartedAt);
     if (update.base != 0) {
         const std::set<std::string> removed(update.removed.begin(), update.removed.end());
         for (const ReplicaRecord &it : m_registered) {
@@ -98,16 +100,16 @@
         std::sort(next.begin(), next.end(),
                   [](const ReplicaRecord &a, const ReplicaRecord &b) { return a.id < b.id; });
     }
-    take(std::move(next), update.storeVersion, readBegan);
+    replaceList(std::move(next), update.storeVersion, readStartedAt);
     return true;
 }
 
 ReplicaUpdate ReplicaRegistry::updateSince(std::uint64_t hash) const
 {
     ReplicaUpdate out{.storeVersion = m_storeVersion};
-    const auto base = std::find_if(m_earlier.rbegin(), m_earlier.rend(),
-                                   [hash](const Earlier &it) { return it.hash == hash; });
-    const bool isKnown = base != m_earlier.rend();
+    const auto base = std::find_if(m_previousLists.rbegin(), m_previousLists.rend(),
+                                   [hash](const PreviousList &it) { return it.hash == hash; });
+    const bool isKnown = base != m_previousLists.rend();
     out.base = isKnown ? hash : 0;
     for (const ReplicaRecord &it : m_registered) {
         const ReplicaRecord *before = isKnown ? findRecord(base->replicas, it.id) : nullptr;
@@ -129,45 +131,45 @@
 {
     std::vector<ReplicaRecord> next = m_registered;
     for (ReplicaRecord &it : next)
-        applyDrained(it);
+        applyLeaving(it);
     if (m_options.clock.now() < m_keepMissingUntil) {
         for (const ReplicaRecord &it : m_replicas) {
             if (!findRecord(next, it.id))
                 next.push_back(it);
         }
     }
-    forgetDrained();
-    if (!differ(m_replicas, next))
+    removeOldLeaving();
+    if (!hasChanges(m_replicas, next))
         return;
     logChanges(next);
     m_replicas = std::move(next);
     m_changed.emit();
 }
 
-void ReplicaRegistry::applyDrained(ReplicaRecord &record)
+void ReplicaRegistry::applyLeaving(ReplicaRecord &record)
 {
-    const auto known = m_drained.find(record.incarnation());
-    if (known == m_drained.end() && !record.draining)
+    const auto known = m_leaving.find(record.incarnation());
+    if (known == m_leaving.end() && !record.draining)
         return;
-    Drained &it = known == m_drained.end() ? m_drained[record.incarnation()] : known->second;
+    LeavingReplica &it = known == m_leaving.end() ? m_leaving[record.incarnation()] : known->second;
     const bool moved = !it.address.empty() && it.address != record.address;
     const bool startedAnew = record.sequence > 0 && record.sequence < it.sequence;
-    it.isReplaced = !record.draining && (it.isReplaced || moved || startedAnew);
+    it.hasSuccessor = !record.draining && (it.hasSuccessor || moved || startedAnew);
     it.address = record.address;
     it.sequence = record.sequence;
     it.seenAt = m_options.clock.now();
-    record.draining = !it.isReplaced;
+    record.draining = !it.hasSuccessor;
 }
 
-void ReplicaRegistry::noteLeaving(const std::string &incarnation, LeavingSource source)
+void ReplicaRegistry::markLeaving(const std::string &incarnation, LeavingSource source)
 {
-    Drained &it = m_drained[incarnation];
+    LeavingReplica &it = m_leaving[incarnation];
     // Another router may still speak of the process before.
-    const bool isOld = it.isReplaced && source == LeavingSource::Router;
-    if (isOld || (it.toldAt && !it.isReplaced))
+    const bool isOld = it.hasSuccessor && source == LeavingSource::Router;
+    if (isOld || (it.reportedAt && !it.hasSuccessor))
         return;
-    it.isReplaced = false;
-    it.toldAt = it.seenAt = m_options.clock.now();
+    it.hasSuccessor = false;
+    it.reportedAt = it.seenAt = m_options.clock.now();
     for (const ReplicaRecord &record : m_replicas) {
         if (record.incarnation() != incarnation)
             continue;
@@ -180,7 +182,7 @@
     update();
 }
 
-void ReplicaRegistry::noteLeavingAt(const std::string &address, const std::string &id)
+void ReplicaRegistry::markLeavingAt(const std::string &address, const std::string &id)
 {
     std::vector<std::string> there;
     for (const ReplicaRecord &it : m_replicas) {
@@ -188,55 +190,57 @@
             there.push_back(it.incarnation());
     }
     for (const std::string &it : there)
-        noteLeaving(it, LeavingSource::Answer);
+        markLeaving(it, LeavingSource::Answer);
 }
 
-std::vector<std::string> ReplicaRegistry::toldLeaving(Duration time, std::size_t most) const
+std::vector<std::string> ReplicaRegistry::recentlyLeaving(Duration time, std::size_t most) const
 {
     const TimePoint now = m_options.clock.now();
     std::vector<std::string> out;
-    for (const auto &[incarnation, it] : m_drained) {
-        if (it.toldAt && !it.isReplaced && now - *it.toldAt <= time && out.size() < most)
+    for (const auto &[incarnation, it] : m_leaving) {
+        if (it.reportedAt && !it.hasSuccessor && now - *it.reportedAt <= time && out.size() < most)
             out.push_back(incarnation);
     }
     return out;
 }
 
-void ReplicaRegistry::forgetDrained()
+void ReplicaRegistry::removeOldLeaving()
 {
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_drained, [&](const auto &it) { return now - it.second.seenAt > DrainMemory; });
+    std::erase_if(m_leaving,
+                  [&](const auto &it) { return now - it.second.seenAt > LeavingRetention; });
 }
 
-bool ReplicaRegistry::confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readBegan)
+bool ReplicaRegistry::confirm(std::uint64_t hash, std::uint64_t storeVersion,
+                              TimePoint readStartedAt)
 {
     if (hash != m_hash || hash == 0)
         return false;
-    noteOutage(readBegan);
+    detectOutage(readStartedAt);
     m_storeVersion = std::max(m_storeVersion, storeVersion);
-    m_readAt = std::max(m_readAt, readBegan);
+    m_readAt = std::max(m_readAt, readStartedAt);
     update(); // The time for which missing ones are kept may be over.
     return true;
 }
 
-void ReplicaRegistry::noteOutage(TimePoint readBegan)
+void ReplicaRegistry::detectOutage(TimePoint readStartedAt)
 {
-    if (m_readAt == TimePoint::min() || readBegan - m_readAt <= m_options.outageAfter)
+    if (m_readAt == TimePoint::min() || readStartedAt - m_readAt <= m_options.outageThreshold)
         return;
-    m_keepMissingUntil = m_options.clock.now() + m_options.returnTime;
+    m_keepMissingUntil = m_options.clock.now() + m_options.reregistrationTime;
     Log::warning("replica_list_regained",
-                 {{"missed_ms", (readBegan - m_readAt) / std::chrono::milliseconds(1)}});
+                 {{"missed_ms", (readStartedAt - m_readAt) / std::chrono::milliseconds(1)}});
 }
 
-bool ReplicaRegistry::differ(const std::vector<ReplicaRecord> &a,
-                             const std::vector<ReplicaRecord> &b)
+bool ReplicaRegistry::hasChanges(const std::vector<ReplicaRecord> &a,
+                                 const std::vector<ReplicaRecord> &b)
 {
     return !std::equal(a.begin(), a.end(), b.begin(), b.end(),
                        [](const ReplicaRecord &x, const ReplicaRecord &y) {
                            return x.id == y.id && x.address == y.address && x.service == y.service
                                    && x.draining == y.draining && x.slots == y.slots
                                    && x.startedAt == y.startedAt
-                                   && isColdAlike(x.coldUntil, y.coldUntil);
+                                   && sameColdDeadline(x.coldUntil, y.coldUntil);
                        });
 }
 
--- a/src/Control/ReplicaRegistry.h
+++ b/src/Control/ReplicaRegistry.h
@@ -26,26 +26,27 @@
     struct Options
     {
         const Clock &clock;
-        Duration outageAfter = std::chrono::seconds(3); ///< Without a snapshot: the store was away.
+        Duration outageThreshold =
+                std::chrono::seconds(3); ///< Without a snapshot: the store was away.
         /// How long replicas that an outage has cost their lease have to register again.
-        Duration returnTime = std::chrono::milliseconds(2200);
+        Duration reregistrationTime = std::chrono::milliseconds(2200);
     };
 
     explicit ReplicaRegistry(Options options) : m_options(options) { }
 
-    /// \brief Takes over \a snapshot, read by a call that began at \a readBegan.
-    void apply(const ReplicaSnapshot &snapshot, TimePoint readBegan);
+    /// \brief Takes over \a snapshot, read by a call that began at \a readStartedAt.
+    void apply(const ReplicaSnapshot &snapshot, TimePoint readStartedAt);
 
-    /// \brief Takes over \a update of a router that read the store at \a readBegan.
+    /// \brief Takes over \a update of a router that read the store at \a readStartedAt.
     /// \returns false where it changes a list that this registry does not have.
-    bool applyUpdate(const ReplicaUpdate &update, TimePoint readBegan);
+    bool applyUpdate(const ReplicaUpdate &update, TimePoint readStartedAt);
 
     /// \returns what a router lacks whose list has \a hash, as of when the store was read last.
     ReplicaUpdate updateSince(std::uint64_t hash) const;
 
-    /// \brief Notes that at \a readBegan the store held the replicas with hash() \a hash, when it
-    /// had version \a storeVersion. \returns false where this registry has others.
-    bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readBegan);
+    /// \brief Notes that at \a readStartedAt the store held the replicas with hash() \a hash, when
+    /// it had version \a storeVersion. \returns false where this registry has others.
+    bool confirm(std::uint64_t hash, std::uint64_t storeVersion, TimePoint readStartedAt);
 
     /// \brief Who has told that a replica leaves.
     enum class LeavingSource : std::uint8_t {
@@ -55,13 +56,13 @@
 
     /// \brief Notes that the replica \a incarnation has said that it leaves. It stays draining,
     /// whatever older entries say, until another process has its name.
-    void noteLeaving(const std::string &incarnation, LeavingSource source);
+    void markLeaving(const std::string &incarnation, LeavingSource source);
 
     /// \brief The same for the process at \a address where it is not replica \a id.
-    void noteLeavingAt(const std::string &address, const std::string &id);
+    void markLeavingAt(const std::string &address, const std::string &id);
 
-    /// \returns the replicas of which noteLeaving() was told in the last \a time, at most \a most.
-    std::vector<std::string> toldLeaving(Duration time, std::size_t most) const;
+    /// \returns the replicas of which markLeaving() was told in the last \a time, at most \a most.
+    std::vector<std::string> recentlyLeaving(Duration time, std::size_t most) const;
 
     /// \returns a hash of the last snapshot, the same on all routers; 0 before the first.
     std::uint64_t hash() const { return m_hash; }
@@ -78,37 +79,39 @@
     sigc::signal<void()> &changed() { return m_changed; }
 
 private:
-    void noteOutage(TimePoint readBegan);
-    void take(std::vector<ReplicaRecord> list, std::uint64_t storeVersion, TimePoint readBegan);
-    void remember(std::uint64_t hash);
+    void detectOutage(TimePoint readStartedAt);
+    void replaceList(std::vector<ReplicaRecord> list, std::uint64_t storeVersion,
+                     TimePoint readStartedAt);
+    void storePreviousList(std::uint64_t hash);
     void update();
-    void applyDrained(ReplicaRecord &record);
-    void forgetDrained();
-    static bool differ(const std::vector<ReplicaRecord> &a, const std::vector<ReplicaRecord> &b);
+    void applyLeaving(ReplicaRecord &record);
+    void removeOldLeaving();
+    static bool hasChanges(const std::vector<ReplicaRecord> &a,
+                           const std::vector<ReplicaRecord> &b);
     void logChanges(const std::vector<ReplicaRecord> &next) const;
 
     Options m_options;
     /// \brief A list that was known, so that routers that still have it are told the changes.
-    struct Earlier
+    struct PreviousList
     {
         std::uint64_t hash = 0;
         std::vector<ReplicaRecord> replicas;
     };
 
     std::vector<ReplicaRecord> m_registered; ///< As in the newest snapshot.
-    std::deque<Earlier> m_earlier; ///< The newest last.
+    std::deque<PreviousList> m_previousLists; ///< The newest last.
     std::vector<ReplicaRecord> m_replicas; ///< With those that an outage may have cost their lease.
     /// \brief A replica that has said that it leaves, for good.
-    struct Drained
+    struct LeavingReplica
     {
         std::string address = {}; ///< Of its entry; empty: none was seen.
         std::int64_t sequence = 0; ///< Highest of its entry.
         TimePoint seenAt = {}; ///< When it was told, or its entry was there last.
-        std::optional<TimePoint> toldAt = {}; ///< When noteLeaving() heard of it first.
-        bool isReplaced = false; ///< Another process has its name now.
+        std::optional<TimePoint> reportedAt = {}; ///< When markLeaving() heard of it first.
+        bool hasSuccessor = false; ///< Another process has its name now.
     };
 
-    std::map<std::string, Drained> m_drained; ///< By incarnation.
+    std::map<std::string, LeavingReplica> m_leaving; ///< By incarnation.
     std::uint64_t m_storeVersion = 0;
     std::uint64_t m_hash = 0;
     TimePoint m_readAt = TimePoint::min();
--- /dev/null
+++ b/src/Control/RouterHeartbeat.cpp
@@ -0,0 +1,197 @@
+#include "Control/RouterHeartbeat.h"
+
+#include "Base/Compression.h"
+#include "Control/RpcClient.h"
+#include "Control/internal/Age.h"
+#include "Control/internal/NotificationReader.h"
+
+#include <json/json.h>
+
+namespace catkinloft {
+
+namespace {
+
+constexpr const char *Method = "b";
+
+/// Ages on the wire are rounded up, so that a proof never looks younger than it is.
+Json::Value ageToJson(Duration age)
+{
+    if (age == Duration::max())
+        return {};
+    return {static_cast<Json::Int64>(std::chrono::ceil<std::chrono::milliseconds>(age).count())};
+}
+
+Duration ageOf(const Json::Value &it)
+{
+    return it.isNull() ? Duration::max() : internal::ageFromMilliseconds(it.asInt64());
+}
+
+/// Arrays: names of fields would double the bytes.
+Json::Value crashToJson(const CrashUpdate &it)
+{
+    Json::Value out(Json::arrayValue);
+    out.append(it.fingerprint);
+    out.append(ageToJson(it.clearedAge.value_or(Duration::max())));
+    for (const CrashUpdate::Crash &end : it.replicaCrashes) {
+        Json::Value item(Json::arrayValue);
+        item.append(end.replica);
+        item.append(end.software);
+        item.append(ageToJson(end.age));
+        out.append(item);
+    }
+    return out;
+}
+
+CrashUpdate crashFromJson(const Json::Value &it)
+{
+    constexpr Json::ArrayIndex FirstEnd = 2;
+    CrashUpdate out{.fingerprint = it[0U].asString()};
+    if (const Duration age = ageOf(it[1U]); age != Duration::max())
+        out.clearedAge = age;
+    for (Json::ArrayIndex i = FirstEnd; i < it.size() && i < FirstEnd + CrashRecord::MaxCrashes;
+         ++i)
+        out.replicaCrashes.push_back({.replica = it[i][0U].asString(),
+                                      .software = it[i][1U].asString(),
+                                      .age = internal::ageFromMilliseconds(it[i][2U].asInt64())});
+    return out;
+}
+
+RouterHeartbeat heartbeatOf(const Json::Value &root)
+{
+    RouterHeartbeat out{.name = root["n"].asString(),
+                        .incarnation = root["b"].asUInt64(),
+                        .sequence = root["q"].asUInt64(),
+                        .callerAddress = root["c"].asString(),
+                        .peerAddress = root["p"].asString(),
+                        .failureDomain = root["d"].asString(),
+                        .processorShare = root["w"].asDouble(),
+                        .ready = root["r"].asBool(),
+                        .leaving = root["l"].asBool(),
+                        .revision = root["v"].asUInt64(),
+                        .proofAge = ageOf(root["a"]),
+                        .storeFailing = root["f"].asBool(),
+                        .storeUnansweredFor = ageOf(root["y"]),
+                        .replicasAge = ageOf(root["s"]),
+                        .replicasHash = root["h"].asUInt64(),
+                        .replicasVersion = root["hv"].asUInt64(),
+                        .ask = root["k"].asUInt64(),
+                        .echo = root["e"].asUInt64()};
+    out.evacuated.storeVersion = root["ev"].asUInt64();
+    for (const Json::Value &it : root["ed"])
+        out.evacuated.domains.insert(it.asString());
+    const Json::Value &counts = root["i"];
+    for (auto it = counts.begin(); it != counts.end(); ++it)
+        out.replicas.counts.emplace(it.name(), it->asInt());
+    for (const Json::Value &it : root["j"])
+        out.replicas.ejected.push_back(it.asString());
+    const Json::Value &prompts = root["u"];
+    for (auto it = prompts.begin(); it != prompts.end(); ++it) {
+        for (const Json::Value &part : *it)
+            out.prompts[it.name()].push_back(part.asUInt64());
+    }
+    for (const Json::Value &it : root["z"])
+        out.discovered.push_back(it.asString());
+    for (const Json::Value &it : root["g"])
+        out.replicas.leaving.push_back(it.asString());
+    for (const Json::Value &it : root["x"])
+        out.crashes.push_back(crashFromJson(it));
+    return out;
+}
+
+} // namespace
+
+namespace {
+
+/// What beats have in common, the names of fields in the order in which they are written.
+constexpr std::string_view HeartbeatDictionary =
+        R"("},"j":["i-"],"z":["],"g":["],"x":[["],"ed":["],"ev":,"f":true,"l":true,)"
+        R"("r":false,"w":0.25,"w":0.5,"u":{"i-":[1,"}},"i":{"i-":2,"i-":1},"k":,"e":)"
+        R"({"jsonrpc":"2.0","method":"b","params":{"a":100,"b":1790000000000,"c":"10.",)"
+        R"("d":"","e":1,"h":1,"hv":1,"i":{"i-":1},"k":1,"l":false,"n":"front-","p":"10.",)"
+        R"("q":1,"r":true,"s":100,"u":{"i-":[]},"v":1,"w":0.12,"y":0}})";
+
+/// Longest beat, several times what a datagram of 1,200 bytes holds.
+constexpr std::size_t MaxHeartbeatBytes = 16 * 1024;
+
+} // namespace
+
+struct HeartbeatCodec::Private
+{
+    internal::NotificationReader reader{Method};
+};
+
+HeartbeatCodec::HeartbeatCodec() : m_d(std::make_unique<Private>()) { }
+
+HeartbeatCodec::~HeartbeatCodec() = default;
+
+std::string HeartbeatCodec::encode(const RouterHeartbeat &heartbeat)
+{
+    Json::Value root(Json::objectValue);
+    root["n"] = heartbeat.name;
+    root["b"] = static_cast<Json::UInt64>(heartbeat.incarnation);
+    root["q"] = static_cast<Json::UInt64>(heartbeat.sequence);
+    root["c"] = heartbeat.callerAddress;
+    root["p"] = heartbeat.peerAddress;
+    root["d"] = heartbeat.failureDomain;
+    root["r"] = heartbeat.ready;
+    root["l"] = heartbeat.leaving;
+    root["v"] = static_cast<Json::UInt64>(heartbeat.revision);
+    root["a"] = ageToJson(heartbeat.proofAge);
+    root["s"] = ageToJson(heartbeat.replicasAge);
+    if (heartbeat.storeFailing)
+        root["f"] = true;
+    root["y"] = ageToJson(heartbeat.storeUnansweredFor);
+    root["w"] = heartbeat.processorShare;
+    root["h"] = static_cast<Json::UInt64>(heartbeat.replicasHash);
+    root["hv"] = static_cast<Json::UInt64>(heartbeat.replicasVersion);
+    if (heartbeat.evacuated.storeVersion != 0)
+        root["ev"] = static_cast<Json::UInt64>(heartbeat.evacuated.storeVersion);
+    for (const std::string &it : heartbeat.evacuated.domains)
+        root["ed"].append(it);
+    if (heartbeat.ask != 0)
+        root["k"] = static_cast<Json::UInt64>(heartbeat.ask);
+    if (heartbeat.echo != 0)
+        root["e"] = static_cast<Json::UInt64>(heartbeat.echo);
+    for (const auto &[id, n] : heartbeat.replicas.counts)
+        root["i"][id] = n;
+    for (const std::string &id : heartbeat.replicas.ejected)
+        root["j"].append(id);
+    for (const auto &[id, parts] : heartbeat.prompts) {
+        for (const std::uint64_t part : parts)
+            root["u"][id].append(static_cast<Json::UInt64>(part));
+    }
+    for (const std::string &id : heartbeat.discovered)
+        root["z"].append(id);
+    for (const std::string &id : heartbeat.replicas.leaving)
+        root["g"].append(id);
+    for (const CrashUpdate &it : heartbeat.crashes)
+        root["x"].append(crashToJson(it));
+    return internal::encodeNotification(Method, root);
+}
+
+std::string HeartbeatCodec::pack(const RouterHeartbeat &heartbeat)
+{
+    return compressShort(encode(heartbeat), HeartbeatDictionary);
+}
+
+Result<RouterHeartbeat> HeartbeatCodec::unpack(std::string_view bytes)
+{
+    const Result<std::string> text = decompressShort(bytes, HeartbeatDictionary, MaxHeartbeatBytes);
+    if (!text)
+        return text.error();
+    return decode(text.value());
+}
+
+Result<RouterHeartbeat> HeartbeatCodec::decode(const std::string &text)
+{
+    const std::optional<Json::Value> params = m_d->reader.read(text);
+    try {
+        if (params)
+            return heartbeatOf(*params);
+    } catch (const Json::Exception &) {
+        // A field of another type: rubbish like any other.
+    }
+    return Error{.reason = Reason::MalformedRequest, .detail = "not a beat of a router"};
+}
+
+} // namespace catkinloft
--- a/src/Control/StoreReadPlan.cpp
+++ b/src/Control/StoreReadPlan.cpp
@@ -8,17 +8,18 @@
 {
     if (m_calling || !(state.reader || state.overdue))
         return false;
-    if (!m_broughtNothing)
+    if (!m_backingOff)
         return true;
     const Duration waited = m_options.clock.now() - m_endedAt;
     return waited >= pause(state)
-            || (isWoken(state) && waited >= scaled(m_options.readerPause, m_spread));
+            || (mayRetryEarly(state) && waited >= scaled(m_options.readerPause, m_jitter));
 }
 
-bool StoreReadPlan::isWoken(const State &state) const
+bool StoreReadPlan::mayRetryEarly(const State &state) const
 {
     return m_answeredElsewhere > m_endedAt
-            && (m_wokenAt == TimePoint::min() || m_options.clock.now() - m_wokenAt >= pause(state));
+            && (m_earlyRetryAt == TimePoint::min()
+                || m_options.clock.now() - m_earlyRetryAt >= pause(state));
 }
 
 void StoreReadPlan::answeredElsewhere(TimePoint at)
@@ -28,43 +29,43 @@
 
 Duration StoreReadPlan::pause(const State &state) const
 {
-    const bool knowsNobody = state.routers <= 1;
+    const bool isAlone = state.routers <= 1;
     const Duration shared =
-            m_options.fleetPause * (knowsNobody ? m_options.unknownFleet : state.routers);
+            m_options.fleetPause * (isAlone ? m_options.assumedFleetSize : state.routers);
     // One failure may be a lost packet; whoever knows nobody can't tell and tries a second time.
-    const bool tryAgain = knowsNobody && m_failures < 2;
-    const Duration whole = state.reader || !m_failed || tryAgain
+    const bool retriesSoon = isAlone && m_failures < 2;
+    const Duration whole = state.reader || !m_failed || retriesSoon
             ? m_options.readerPause
             : std::max(m_options.readerPause, shared);
-    return scaled(whole, m_spread);
+    return scaled(whole, m_jitter);
 }
 
 void StoreReadPlan::began()
 {
     m_calling = true;
     if (m_answeredElsewhere > m_endedAt)
-        m_wokenAt = m_options.clock.now();
-    m_silentSince = std::min(m_silentSince, m_options.clock.now());
+        m_earlyRetryAt = m_options.clock.now();
+    m_unansweredSince = std::min(m_unansweredSince, m_options.clock.now());
 }
 
 void StoreReadPlan::answered()
 {
     m_calling = false;
-    m_broughtNothing = false;
+    m_backingOff = false;
     m_failed = false;
     m_failures = 0;
-    m_wokenAt = TimePoint::min();
-    m_silentSince = TimePoint::max();
+    m_earlyRetryAt = TimePoint::min();
+    m_unansweredSince = TimePoint::max();
 }
 
 void StoreReadPlan::end(bool failed)
 {
     m_calling = false;
-    m_broughtNothing = true;
+    m_backingOff = true;
     m_failed = failed;
     m_failures = failed ? m_failures + 1 : 0;
     m_endedAt = m_options.clock.now();
-    m_spread = 0.75 + 0.5 * uniform(m_options.random);
+    m_jitter = 0.75 + 0.5 * uniform(m_options.random);
 }
 
 void StoreReadPlan::failed()
@@ -72,21 +73,21 @@
     end(true);
 }
 
-void StoreReadPlan::foundNothing()
+void StoreReadPlan::answeredEmpty()
 {
     end(false);
-    m_silentSince = TimePoint::max();
+    m_unansweredSince = TimePoint::max();
 }
 
 bool StoreReadPlan::isFailing() const
 {
-    return m_failed && m_options.clock.now() - m_endedAt < m_options.failureLife;
+    return m_failed && m_options.clock.now() - m_endedAt < m_options.failureExpiry;
 }
 
-Duration StoreReadPlan::silence() const
+Duration StoreReadPlan::unansweredFor() const
 {
-    return m_silentSince == TimePoint::max() ? Duration::zero()
-                                             : m_options.clock.now() - m_silentSince;
+    return m_unansweredSince == TimePoint::max() ? Duration::zero()
+                                                 : m_options.clock.now() - m_unansweredSince;
 }
 
 } // namespace catkinloft
--- a/src/Control/StoreReadPlan.h
+++ b/src/Control/StoreReadPlan.h
@@ -25,9 +25,9 @@
         Duration readerPause = std::chrono::milliseconds(300); ///< Between tries of a reader.
         Duration fleetPause = std::chrono::milliseconds(15); ///< Between tries of all others.
         /// Size of the fleet that a router allows for which knows no other.
-        int unknownFleet = 300;
+        int assumedFleetSize = 300;
         /// A failure that is older does not keep a router from reading for the others.
-        Duration failureLife = std::chrono::seconds(10);
+        Duration failureExpiry = std::chrono::seconds(10);
     };
 
     /// \brief What a router knows when it decides.
@@ -53,7 +53,7 @@
     void failed();
 
     /// \brief Notes an answer that there is nothing yet: it is asked again after a reader's pause.
-    void foundNothing();
+    void answeredEmpty();
 
     /// \brief Notes that the store answered another router, or another call of this one, at \a at.
     ///
@@ -68,25 +68,26 @@
     bool isFailing() const;
 
     /// \returns how long the store has not answered while it was called; zero where it was not.
-    Duration silence() const;
+    Duration unansweredFor() const;
 
     /// \brief Ends the silence of a router that need not call any more.
-    void rest() { m_silentSince = TimePoint::max(); }
+    void rest() { m_unansweredSince = TimePoint::max(); }
 
 private:
     Duration pause(const State &state) const;
-    bool isWoken(const State &state) const;
+    bool mayRetryEarly(const State &state) const;
     void end(bool failed);
 
     Options m_options;
     TimePoint m_endedAt = TimePoint::min(); ///< Of the last call that brought nothing.
-    TimePoint m_silentSince = TimePoint::max(); ///< Beginning of the first call without an answer.
-    double m_spread = 1; ///< Of the pause, so that routers that failed together differ.
-    bool m_broughtNothing = false; ///< The last call failed or found nothing.
+    TimePoint m_unansweredSince =
+            TimePoint::max(); ///< Beginning of the first call without an answer.
+    double m_jitter = 1; ///< Of the pause, so that routers that failed together differ.
+    bool m_backingOff = false; ///< The last call failed or found nothing.
     bool m_failed = false; ///< The last call did.
     int m_failures = 0; ///< In a row.
     TimePoint m_answeredElsewhere = TimePoint::min();
-    TimePoint m_wokenAt = TimePoint::min(); ///< When a call began because of that.
+    TimePoint m_earlyRetryAt = TimePoint::min(); ///< When a call began because of that.
     bool m_calling = false;
 };
 
--- a/src/Control/WeightBudget.cpp
+++ b/src/Control/WeightBudget.cpp
@@ -9,13 +9,13 @@
 WeightBudget::WeightBudget(Options options) : m_options(std::move(options))
 {
     for (std::size_t i = 0; i < m_options.slots; ++i) {
-        m_slots.push_back(std::make_unique<LeaseKeeper>(
-                LeaseKeeper::Options{.clock = m_options.clock,
-                                     .random = [this] { return m_options.random(); },
-                                     .table = m_options.table,
-                                     .key = fmt::format("lease/weights/{}", i),
-                                     .self = m_options.self,
-                                     .takeInterval = m_options.takeInterval}));
+        m_slots.push_back(std::make_unique<LeaseManager>(
+                LeaseManager::Options{.clock = m_options.clock,
+                                      .random = [this] { return m_options.random(); },
+                                      .table = m_options.table,
+                                      .key = fmt::format("lease/weights/{}", i),
+                                      .self = m_options.self,
+                                      .acquireInterval = m_options.acquireInterval}));
     }
 }
 
--- a/src/Control/WeightBudget.h
+++ b/src/Control/WeightBudget.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Control/LeaseKeeper.h"
+#include "Control/LeaseManager.h"
 
 #include <cstddef>
 #include <memory>
@@ -27,7 +27,7 @@
         std::string self;
         std::size_t slots = 4;
         /// Up to 256 routers look at all slots this often: 4 * 256 / 15 = 68 reads/s at worst.
-        Duration takeInterval = std::chrono::seconds(15);
+        Duration acquireInterval = std::chrono::seconds(15);
     };
 
     explicit WeightBudget(Options options);
@@ -52,7 +52,7 @@
     Options m_options;
     bool m_wanted = false;
     TimePoint m_pausedUntil;
-    std::vector<std::unique_ptr<LeaseKeeper>> m_slots;
+    std::vector<std::unique_ptr<LeaseManager>> m_slots;
 };
 
 } // namespace catkinloft
