--- a/src/Decide/AdmissionQueue.cpp
+++ b/src/Decide/AdmissionQueue.cpp
@@ -17,11 +17,11 @@
 
 /// A router's queue over all workspaces, in queues of one workspace. A longer one would only hold
 /// requests that the sojourn limit refuses later.
-constexpr std::size_t QueuesAtOnce = 8;
+constexpr std::size_t MaxFullQueues = 8;
 
 /// A hint under it would have callers knock in vain; over it, they would miss freed capacity.
-constexpr Duration MinHint = 100ms;
-constexpr Duration MaxHint = 30s;
+constexpr Duration MinRetryAfter = 100ms;
+constexpr Duration MaxRetryAfter = 30s;
 
 constexpr double IntervalSmoothing = 0.05;
 
@@ -55,8 +55,8 @@
         return std::pair(std::move(entry), std::move(error));
     }
     // Half of the time left stays for the caller to go elsewhere after a refusal.
-    entry.since = now;
-    entry.limit = now + std::min(rules().queueSojourn, (entry.job.deadline - now) / 2);
+    entry.submittedAt = now;
+    entry.expiresAt = now + std::min(rules().queueSojourn, (entry.job.deadline - now) / 2);
     Class &group = classOf(flow);
     if (flow.jobs.empty()) {
         if (group.flows.empty())
@@ -68,9 +68,9 @@
         return it.job.priority < entry.job.priority;
     });
     const JobId id = entry.job.id;
-    m_limits.emplace(entry.limit, id);
+    m_expiries.emplace(entry.expiresAt, id);
     m_byId[id] = {.workspace = flow.workspace, .it = flow.jobs.insert(after, std::move(entry))};
-    if (size() <= QueuesAtOnce * static_cast<std::size_t>(rules().queueLength))
+    if (size() <= MaxFullQueues * static_cast<std::size_t>(rules().queueLength))
         return std::nullopt;
     return shed();
 }
@@ -109,7 +109,7 @@
                 .rule = "workspaces.protected",
                 .figures = {{"waiting_requests", static_cast<double>(waiting)},
                             {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
-    return {takeOut(*victim, std::prev(victim->jobs.end())), std::move(error)};
+    return {removeEntry(*victim, std::prev(victim->jobs.end())), std::move(error)};
 }
 
 const AdmissionQueue::Flow *AdmissionQueue::nextFlow() const
@@ -139,14 +139,14 @@
     group.flows.erase({flow.start, flow.workspace});
     flow.start += work / flow.weight;
     group.flows.emplace(flow.start, flow.workspace);
-    return takeOut(flow, flow.jobs.begin());
+    return removeEntry(flow, flow.jobs.begin());
 }
 
-AdmissionQueue::Entry AdmissionQueue::takeOut(Flow &flow, std::list<Entry>::iterator it)
+AdmissionQueue::Entry AdmissionQueue::removeEntry(Flow &flow, std::list<Entry>::iterator it)
 {
     Entry out = std::move(*it);
     flow.jobs.erase(it);
-    m_limits.erase({out.limit, out.job.id});
+    m_expiries.erase({out.expiresAt, out.job.id});
     m_byId.erase(out.job.id);
     if (!flow.jobs.empty())
         return out;
@@ -161,10 +161,10 @@
 
 std::optional<AdmissionQueue::Entry> AdmissionQueue::popExpired(TimePoint now)
 {
-    if (m_limits.empty() || m_limits.begin()->first > now)
+    if (m_expiries.empty() || m_expiries.begin()->first > now)
         return std::nullopt;
-    const Place place = m_byId.at(m_limits.begin()->second);
-    return takeOut(m_flows.at(place.workspace), place.it);
+    const Position position = m_byId.at(m_expiries.begin()->second);
+    return removeEntry(m_flows.at(position.workspace), position.it);
 }
 
 bool AdmissionQueue::remove(JobId id)
@@ -172,8 +172,8 @@
     const auto found = m_byId.find(id);
     if (found == m_byId.end())
         return false;
-    const Place place = found->second;
-    takeOut(m_flows.at(place.workspace), place.it);
+    const Position position = found->second;
+    removeEntry(m_flows.at(position.workspace), position.it);
     return true;
 }
 
@@ -181,7 +181,8 @@
 {
     if (m_lastCompletion != TimePoint()) {
         const double gap = toSeconds(now - m_lastCompletion);
-        m_interval += (m_interval == 0 ? 1 : IntervalSmoothing) * (gap - m_interval);
+        m_completionInterval +=
+                (m_completionInterval == 0 ? 1 : IntervalSmoothing) * (gap - m_completionInterval);
     }
     m_lastCompletion = now;
 }
@@ -189,13 +190,14 @@
 Duration AdmissionQueue::expectedWait(std::size_t jobs) const
 {
     // Before the first completions nothing is known; a second is the usual length of a request.
-    const double interval = m_interval == 0 ? 1 : m_interval;
-    return std::clamp(fromSeconds(interval * static_cast<double>(jobs)), MinHint, MaxHint);
+    const double interval = m_completionInterval == 0 ? 1 : m_completionInterval;
+    return std::clamp(fromSeconds(interval * static_cast<double>(jobs)), MinRetryAfter,
+                      MaxRetryAfter);
 }
 
-TimePoint AdmissionQueue::firstLimit() const
+TimePoint AdmissionQueue::nextExpiry() const
 {
-    return m_limits.empty() ? TimePoint::max() : m_limits.begin()->first;
+    return m_expiries.empty() ? TimePoint::max() : m_expiries.begin()->first;
 }
 
 std::string AdmissionQueue::workspaceOf(JobId id) const
--- a/src/Decide/AdmissionQueue.h
+++ b/src/Decide/AdmissionQueue.h
@@ -28,8 +28,8 @@
     {
         Job job;
         Decided decided;
-        TimePoint since;
-        TimePoint limit; ///< When it is refused at the latest.
+        TimePoint submittedAt;
+        TimePoint expiresAt; ///< When it is refused at the latest.
     };
 
     /// \brief Takes over the rules and workspaces of \a inventory.
@@ -60,7 +60,7 @@
     Duration expectedWait(std::size_t jobs) const;
 
     /// \returns when the first waiting job reaches its limit.
-    TimePoint firstLimit() const;
+    TimePoint nextExpiry() const;
 
     std::size_t size() const { return m_byId.size(); }
     bool empty() const { return m_byId.empty(); }
@@ -87,7 +87,7 @@
         std::set<FlowKey> flows; ///< Those with jobs, by their start.
     };
 
-    struct Place
+    struct Position
     {
         std::string workspace;
         std::list<Entry>::iterator it;
@@ -97,17 +97,17 @@
     Flow &flowOf(const std::string &workspace);
     Class &classOf(const Flow &flow) { return m_classes[flow.isProtected ? 0 : 1]; }
     const Flow *nextFlow() const;
-    Entry takeOut(Flow &flow, std::list<Entry>::iterator it);
+    Entry removeEntry(Flow &flow, std::list<Entry>::iterator it);
     Error fullError(const Flow &flow) const;
     std::pair<Entry, Error> shed();
 
     InventoryPtr m_inventory;
     std::map<std::string, Flow> m_flows;
     Class m_classes[2]; ///< Protected workspaces, then the rest.
-    std::map<JobId, Place> m_byId;
-    std::set<std::pair<TimePoint, JobId>> m_limits;
+    std::map<JobId, Position> m_byId;
+    std::set<std::pair<TimePoint, JobId>> m_expiries;
     double m_classTime = 0;
-    double m_interval = 0; ///< Moving average of seconds between completions.
+    double m_completionInterval = 0; ///< Moving average of seconds between completions.
     TimePoint m_lastCompletion;
 };
 
--- a/src/Decide/ColdPace.cpp
+++ b/src/Decide/ColdRateLimit.cpp
@@ -1,4 +1,4 @@
-#include "Decide/ColdPace.h"
+#include "Decide/ColdRateLimit.h"
 
 #include <algorithm>
 
@@ -12,14 +12,14 @@
 
 } // namespace
 
-ColdPace ColdPace::shareOf(double bearable, int routers)
+ColdRateLimit ColdRateLimit::fromFleetLimit(double fleetLimit, int routers)
 {
-    const double half = bearable / 2;
+    const double half = fleetLimit / 2;
     if (half < 1)
-        return {.senders = 1, .spacing = scaled(Window, 1 / half)};
+        return {.senders = 1, .minInterval = scaled(Window, 1 / half)};
     const auto whole = static_cast<std::size_t>(half);
     const std::size_t senders = std::min(whole, static_cast<std::size_t>(std::max(1, routers)));
-    return {.senders = senders, .spacing = Window / static_cast<std::int64_t>(whole / senders)};
+    return {.senders = senders, .minInterval = Window / static_cast<std::int64_t>(whole / senders)};
 }
 
 } // namespace catkinloft
--- a/src/Decide/ColdPace.h
+++ b/src/Decide/ColdRateLimit.h
@@ -14,14 +14,14 @@
 /// know each other, may send to it, and each of them at a distance that keeps any second within
 /// its share. Half of what the replica bears is shared out: while routers start or fall silent,
 /// some believe in other senders, and two sets of them stay within the bound.
-struct ColdPace
+struct ColdRateLimit
 {
     std::size_t senders = 1; ///< Routers that may send to the replica.
-    Duration spacing = Duration::zero(); ///< Least time between two requests of one of them.
+    Duration minInterval = Duration::zero(); ///< Least time between two requests of one of them.
 
-    /// \param bearable requests in any one second, from all routers together; above 0.
+    /// \param fleetLimit requests in any one second, from all routers together; above 0.
     /// \param routers how many there are, at least 1.
-    static ColdPace shareOf(double bearable, int routers);
+    static ColdRateLimit fromFleetLimit(double fleetLimit, int routers);
 };
 
 } // namespace catkinloft
--- a/src/Decide/ConcurrencyLimit.h
+++ b/src/Decide/ConcurrencyLimit.h
@@ -14,13 +14,13 @@
 class ConcurrencyLimit
 {
 public:
-    void setMost(int slots)
+    void setMaximum(int slots)
     {
         // An upstream starts at its stated slots: the inventory is right until an overload shows.
-        if (m_most == 0)
+        if (m_maximum == 0)
             m_limit = slots;
-        m_most = slots;
-        m_limit = std::min(m_limit, static_cast<double>(m_most));
+        m_maximum = slots;
+        m_limit = std::min(m_limit, static_cast<double>(m_maximum));
     }
 
     bool allows(int inFlight) const { return inFlight < static_cast<int>(m_limit); }
@@ -34,14 +34,14 @@
         if (overloaded)
             m_limit = std::max(1.0, m_limit * Decrease);
         else if (report.succeeded)
-            m_limit = std::min(static_cast<double>(m_most), m_limit + 1 / m_limit);
+            m_limit = std::min(static_cast<double>(m_maximum), m_limit + 1 / m_limit);
     }
 
 private:
     // Gentle enough that the failures of one batch of requests leave a limit above 1.
     static constexpr double Decrease = 0.9;
 
-    int m_most = 0;
+    int m_maximum = 0;
     double m_limit = 1;
 };
 
--- a/src/Decide/IdleTrust.h
+++ b/src/Decide/ConnectionReusePolicy.h
@@ -12,7 +12,7 @@
 /// one repeat of a call that may be repeated); from then on shorter rests are trusted, and longer
 /// ones again when none is forgotten for some time. Requests that may be repeated are sent after
 /// twice the rest, so that they find out first.
-class IdleTrust
+class ConnectionReusePolicy
 {
 public:
     struct Options
@@ -26,22 +26,22 @@
         Duration least = std::chrono::milliseconds(100);
         /// Without a forgotten connection for so long, twice the rest is trusted. Half a dozen
         /// doublings lead back from least to most in a minute.
-        Duration recovery = std::chrono::seconds(10);
+        Duration recoveryInterval = std::chrono::seconds(10);
         /// A forgotten connection answers with a reset, after a round trip; what breaks later broke
         /// while the replica was at work.
-        Duration answerTime = std::chrono::milliseconds(20);
+        Duration maxResetTime = std::chrono::milliseconds(20);
     };
 
-    explicit IdleTrust(Options options) : m_options(options), m_limit(options.most) { }
+    explicit ConnectionReusePolicy(Options options) : m_options(options), m_limit(options.most) { }
 
-    /// \returns the longest rest after which a request may be sent. \param repeatable it may be
+    /// \returns the longest rest after which a request may be sent. \param retryable it may be
     /// sent once more.
-    Duration limit(bool repeatable);
+    Duration limit(bool retryable);
 
     /// \brief Takes note that a connection broke before any byte of an answer.
-    /// \param rested before the request was sent on it; zero for a new one. \param after how long
+    /// \param idleTime before the request was sent on it; zero for a new one. \param after how long
     /// after the sending it broke. \returns whether it is taken to have been forgotten.
-    bool broke(Duration rested, Duration after);
+    bool reportBroken(Duration idleTime, Duration after);
 
 private:
     void recover();
--- a/src/Decide/CrashRecord.cpp
+++ b/src/Decide/CrashRecord.cpp
@@ -4,19 +4,19 @@
 
 namespace catkinloft {
 
-bool CrashRecord::add(const ReplicaEnd &end)
+bool CrashRecord::add(const ReplicaCrash &end)
 {
     if (has(end.replica) || end.at <= m_clearedAt)
         return false;
-    const auto before = [](const ReplicaEnd &a, const ReplicaEnd &b) { return a.at < b.at; };
-    const auto place =
-            m_ends.insert(std::upper_bound(m_ends.begin(), m_ends.end(), end, before), end);
-    if (m_ends.size() <= MaxEnds)
+    const auto before = [](const ReplicaCrash &a, const ReplicaCrash &b) { return a.at < b.at; };
+    const auto position = m_crashes.insert(
+            std::upper_bound(m_crashes.begin(), m_crashes.end(), end, before), end);
+    if (m_crashes.size() <= MaxCrashes)
         return true;
     // The newest stays, since it decides how long the request is held back.
-    const auto dropped = m_ends.end() - 2;
-    const bool changed = place != dropped;
-    m_ends.erase(dropped);
+    const auto dropped = m_crashes.end() - 2;
+    const bool changed = position != dropped;
+    m_crashes.erase(dropped);
     return changed;
 }
 
@@ -25,27 +25,27 @@
     if (at <= m_clearedAt)
         return false;
     m_clearedAt = at;
-    std::erase_if(m_ends, [&](const ReplicaEnd &it) { return it.at <= at; });
+    std::erase_if(m_crashes, [&](const ReplicaCrash &it) { return it.at <= at; });
     return true;
 }
 
 bool CrashRecord::merge(const CrashRecord &other)
 {
     bool changed = clear(other.m_clearedAt);
-    for (const ReplicaEnd &it : other.m_ends)
+    for (const ReplicaCrash &it : other.m_crashes)
         changed = add(it) || changed;
     return changed;
 }
 
-int CrashRecord::moments(const std::function<bool(const ReplicaEnd &)> &counts) const
+int CrashRecord::incidents(const std::function<bool(const ReplicaCrash &)> &counts) const
 {
     int n = 0;
     TimePoint began;
     TimePoint last;
-    for (const ReplicaEnd &it : m_ends) {
+    for (const ReplicaCrash &it : m_crashes) {
         if (!counts(it))
             continue;
-        const bool same = n > 0 && it.at - last < MomentGap && it.at - began < MaxMoment;
+        const bool same = n > 0 && it.at - last < IncidentGap && it.at - began < MaxIncidentTime;
         last = it.at;
         if (same)
             continue;
@@ -57,19 +57,19 @@
 
 bool CrashRecord::has(std::string_view replica) const
 {
-    return std::any_of(m_ends.begin(), m_ends.end(),
-                       [&](const ReplicaEnd &it) { return it.replica == replica; });
+    return std::any_of(m_crashes.begin(), m_crashes.end(),
+                       [&](const ReplicaCrash &it) { return it.replica == replica; });
 }
 
 bool CrashRecord::hasSoftware(std::string_view software) const
 {
-    return std::any_of(m_ends.begin(), m_ends.end(),
-                       [&](const ReplicaEnd &it) { return it.software == software; });
+    return std::any_of(m_crashes.begin(), m_crashes.end(),
+                       [&](const ReplicaCrash &it) { return it.software == software; });
 }
 
-TimePoint CrashRecord::newest() const
+TimePoint CrashRecord::lastEventAt() const
 {
-    return m_ends.empty() ? m_clearedAt : std::max(m_clearedAt, m_ends.back().at);
+    return m_crashes.empty() ? m_clearedAt : std::max(m_clearedAt, m_crashes.back().at);
 }
 
 } // namespace catkinloft
--- a/src/Decide/CrashRecord.h
+++ b/src/Decide/CrashRecord.h
@@ -11,7 +11,7 @@
 namespace catkinloft {
 
 /// \brief The end of a replica's process while it worked on a request.
-struct ReplicaEnd
+struct ReplicaCrash
 {
     std::string replica = {}; ///< Its incarnation.
     std::string software = {}; ///< \sa ReplicaRecord::software
@@ -26,17 +26,17 @@
 {
 public:
     /// Ends that one record keeps: the oldest, and the newest.
-    static constexpr std::size_t MaxEnds = 8;
+    static constexpr std::size_t MaxCrashes = 8;
 
     /// Ends that follow each other more closely are one piece of evidence: a rack that is lost
     /// takes several replicas, with all that ran on them, at one moment.
-    static constexpr Duration MomentGap = std::chrono::milliseconds(100);
+    static constexpr Duration IncidentGap = std::chrono::milliseconds(100);
 
     /// Longest moment: a request that comes without pause ends replicas without pause.
-    static constexpr Duration MaxMoment = std::chrono::milliseconds(500);
+    static constexpr Duration MaxIncidentTime = std::chrono::milliseconds(500);
 
     /// \brief Adds \a end. \returns whether the record changed.
-    bool add(const ReplicaEnd &end);
+    bool add(const ReplicaCrash &end);
 
     /// \brief Notes that a run completed at \a at, which voids the ends before it.
     /// \returns whether the record changed.
@@ -46,7 +46,7 @@
     bool merge(const CrashRecord &other);
 
     /// \returns at how many moments replicas ended, counting the ends that \a counts.
-    int moments(const std::function<bool(const ReplicaEnd &)> &counts) const;
+    int incidents(const std::function<bool(const ReplicaCrash &)> &counts) const;
 
     /// \returns whether \a replica is among those that ended.
     bool has(std::string_view replica) const;
@@ -55,16 +55,16 @@
     bool hasSoftware(std::string_view software) const;
 
     /// \returns the ends in order of time.
-    std::span<const ReplicaEnd> ends() const { return m_ends; }
+    std::span<const ReplicaCrash> replicaCrashes() const { return m_crashes; }
 
     /// \returns when a run completed last; TimePoint::min(): none is known.
     TimePoint clearedAt() const { return m_clearedAt; }
 
     /// \returns when something was learned last.
-    TimePoint newest() const;
+    TimePoint lastEventAt() const;
 
 private:
-    std::vector<ReplicaEnd> m_ends;
+    std::vector<ReplicaCrash> m_crashes;
     TimePoint m_clearedAt = TimePoint::min();
 };
 
--- a/src/Decide/Decide.h
+++ b/src/Decide/Decide.h
@@ -5,11 +5,11 @@
 
 #include "Decide/AdmissionQueue.h" // IWYU pragma: export
 #include "Decide/ChatOrder.h" // IWYU pragma: export
-#include "Decide/ColdPace.h" // IWYU pragma: export
+#include "Decide/ColdRateLimit.h" // IWYU pragma: export
 #include "Decide/ConcurrencyLimit.h" // IWYU pragma: export
+#include "Decide/ConnectionReusePolicy.h" // IWYU pragma: export
 #include "Decide/Dispatcher.h" // IWYU pragma: export
 #include "Decide/HealthTracker.h" // IWYU pragma: export
-#include "Decide/IdleTrust.h" // IWYU pragma: export
 #include "Decide/Job.h" // IWYU pragma: export
 #include "Decide/LoadReport.h" // IWYU pragma: export
 #include "Decide/OwnerGroups.h" // IWYU pragma: export
--- a/src/Decide/Dispatcher.cpp
+++ b/src/Decide/Dispatcher.cpp
@@ -14,7 +14,7 @@
 
 /// While jobs wait, capacity may also come back by reports, slow start or the end of an ejection,
 /// of which nothing tells.
-constexpr Duration WaitingPoll = 50ms;
+constexpr Duration WaitingPollInterval = 50ms;
 
 /// Reports are aged and the mean is summed anew this often, at the cost of one pass over the pool.
 constexpr Duration RefreshPeriod = 1s;
@@ -72,7 +72,7 @@
     m_queue.setInventory(inventory);
     m_inventory = std::move(inventory);
     markOwned();
-    drain(Placement::None);
+    placeQueued(Placement::None);
     flush();
 }
 
@@ -96,7 +96,7 @@
 void Dispatcher::addLoadReports(std::span<const LoadReport> reports)
 {
     m_placement.addReports(reports);
-    drain(Placement::None);
+    placeQueued(Placement::None);
     flush();
 }
 
@@ -109,8 +109,8 @@
     if (it.name == m_options.self)
         return nullptr;
     const auto suspect = m_suspects.find(it.name);
-    const bool passedOver = suspect != m_suspects.end() && suspect->second > m_options.clock.now();
-    return passedOver ? nullptr : &it;
+    const bool isSuspect = suspect != m_suspects.end() && suspect->second > m_options.clock.now();
+    return isSuspect ? nullptr : &it;
 }
 
 Result<void> Dispatcher::admit(const Job &job)
@@ -128,7 +128,7 @@
                      .rule = "workspaces.max_in_flight",
                      .figures = {{"in_flight", static_cast<double>(inFlight)},
                                  {"max_in_flight", static_cast<double>(workspace->maxInFlight)}}};
-    if (!m_placement.anyFor(job))
+    if (!m_placement.hasCandidate(job))
         return noUpstreamError();
     return outcome::success();
 }
@@ -153,42 +153,44 @@
     if (!admitted)
         refuse(job.workspace, decided, admitted.error());
     else if ((!m_queue.empty() || !place(job, now, decided, Placement::None))
-             && !relayToFirst(job, decided))
+             && !relayToFirstOwner(job, decided))
         enqueue(std::move(job), std::move(decided));
     flush();
 }
 
-bool Dispatcher::place(const Job &job, TimePoint since, const Decided &decided, std::size_t hint)
+bool Dispatcher::place(const Job &job, TimePoint submittedAt, const Decided &decided,
+                       std::size_t hint)
 {
     const std::size_t i = m_placement.choose(job, hint);
     if (i == Placement::None)
         return false;
-    assign(job, since, decided, i);
+    assign(job, submittedAt, decided, i);
     return true;
 }
 
 /// Everything looks full from here: the owner of the chat's first engine knows better and has the
 /// queue in which the chat's workspace takes its turn.
-bool Dispatcher::relayToFirst(const Job &job, const Decided &decided)
+bool Dispatcher::relayToFirstOwner(const Job &job, const Decided &decided)
 {
     if (job.hops > 0 || job.chatKey == 0)
         return false;
-    const std::size_t i = m_placement.firstOf(job);
+    const std::size_t i = m_placement.firstUsable(job);
     if (i == Placement::None || !ownerOf(i))
         return false;
     assign(job, m_options.clock.now(), decided, i);
     return true;
 }
 
-void Dispatcher::assign(const Job &job, TimePoint since, const Decided &decided, std::size_t i)
+void Dispatcher::assign(const Job &job, TimePoint submittedAt, const Decided &decided,
+                        std::size_t i)
 {
     const Placement::Upstream &upstream = m_placement.upstream(i);
     const RouterView *owner = job.chatKey != 0 ? ownerOf(i) : nullptr;
     const bool relayed = owner && job.hops == 0;
-    const bool first = job.chatKey == 0 || m_placement.firstOf(job) == i;
+    const bool first = job.chatKey == 0 || m_placement.firstUsable(job) == i;
     ++m_counters.placed;
     m_counters.relayed += relayed ? 1 : 0;
-    m_counters.guests += owner && !relayed ? 1 : 0;
+    m_counters.unowned += owner && !relayed ? 1 : 0;
     m_counters.overflowed += first ? 0 : 1;
     const char *why = job.chatKey == 0 ? "less loaded of two"
             : first                    ? "first in the chat's order"
@@ -196,29 +198,31 @@
     Assignment out{.upstream = upstream.name,
                    .address = relayed ? owner->callerAddress : upstream.address,
                    .relayed = relayed,
-                   .waited = m_options.clock.now() - since,
+                   .waited = m_options.clock.now() - submittedAt,
                    .why = why};
     m_running[job.id] = {.placed = m_placement.start(i, job, relayed),
                          .workspace = job.workspace,
                          .owner = relayed ? owner->name : std::string()};
-    m_ready.emplace_back(decided, std::move(out));
+    m_pendingDecisions.emplace_back(decided, std::move(out));
 }
 
 void Dispatcher::enqueue(Job job, Decided decided)
 {
     ++m_counters.queued;
     const TimePoint now = m_options.clock.now();
-    auto refused = m_queue.push(
-            {.job = std::move(job), .decided = std::move(decided), .since = now, .limit = now},
-            now);
+    auto refused = m_queue.push({.job = std::move(job),
+                                 .decided = std::move(decided),
+                                 .submittedAt = now,
+                                 .expiresAt = now},
+                                now);
     if (refused)
         refuse(refused->first.job.workspace, refused->first.decided, std::move(refused->second));
 }
 
-void Dispatcher::drain(std::size_t hint)
+void Dispatcher::placeQueued(std::size_t hint)
 {
     while (const AdmissionQueue::Entry *it = m_queue.front()) {
-        if (!m_placement.anyFor(it->job)) {
+        if (!m_placement.hasCandidate(it->job)) {
             const AdmissionQueue::Entry lost = m_queue.pop();
             refuse(lost.job.workspace, lost.decided, noUpstreamError());
             continue;
@@ -227,7 +231,7 @@
         if (i == Placement::None)
             return;
         const AdmissionQueue::Entry entry = m_queue.pop();
-        assign(entry.job, entry.since, entry.decided, i);
+        assign(entry.job, entry.submittedAt, entry.decided, i);
     }
 }
 
@@ -235,7 +239,7 @@
 {
     ++m_counters.refused;
     release(workspace);
-    m_ready.emplace_back(decided, std::move(error));
+    m_pendingDecisions.emplace_back(decided, std::move(error));
 }
 
 void Dispatcher::release(const std::string &workspace)
@@ -251,9 +255,9 @@
     if (m_flushing)
         return;
     m_flushing = true;
-    while (!m_ready.empty()) {
-        auto [decided, result] = std::move(m_ready.front());
-        m_ready.pop_front();
+    while (!m_pendingDecisions.empty()) {
+        auto [decided, result] = std::move(m_pendingDecisions.front());
+        m_pendingDecisions.pop_front();
         decided(std::move(result));
     }
     m_flushing = false;
@@ -281,7 +285,7 @@
         suspect(it.owner, now);
     const std::size_t freed = m_placement.stop(it.placed, report);
     m_queue.recordCompletion(now);
-    drain(freed);
+    placeQueued(freed);
     flush();
 }
 
@@ -297,13 +301,13 @@
 Error Dispatcher::expiredError(const AdmissionQueue::Entry &entry) const
 {
     const TimePoint now = m_options.clock.now();
-    const bool byRule = now - entry.since >= m_inventory->rules.queueSojourn;
+    const bool byRule = now - entry.submittedAt >= m_inventory->rules.queueSojourn;
     return {.reason = byRule ? Reason::SojournExceeded : Reason::DeadlineExpired,
             .detail = byRule ? "no upstream had room within the longest wait"
                              : "no upstream had room within half of the time to the deadline",
             .retryAfter = m_queue.expectedWait(m_queue.size() + 1),
             .rule = "rules.queue_sojourn",
-            .figures = {{"waited_s", toSeconds(now - entry.since)},
+            .figures = {{"waited_s", toSeconds(now - entry.submittedAt)},
                         {"waiting_requests", static_cast<double>(m_queue.size())},
                         {"mean_load_tokens", m_placement.meanLoad()},
                         {"load_bound", m_inventory->rules.loadBound}}};
@@ -323,7 +327,7 @@
 {
     const TimePoint now = m_options.clock.now();
     refresh(now);
-    drain(Placement::None);
+    placeQueued(Placement::None);
     while (const auto expired = m_queue.popExpired(now))
         refuse(expired->job.workspace, expired->decided, expiredError(*expired));
     flush();
@@ -333,7 +337,7 @@
 {
     if (m_queue.empty())
         return TimePoint::max();
-    return std::min(m_queue.firstLimit(), m_options.clock.now() + WaitingPoll);
+    return std::min(m_queue.nextExpiry(), m_options.clock.now() + WaitingPollInterval);
 }
 
 bool Dispatcher::mayRetry(const Job &job, Reason reason)
@@ -341,7 +345,7 @@
     // A pool in which jobs wait, or which declined this one, has no room for the same work twice.
     if (reason == Reason::UpstreamRefused || !m_queue.empty())
         return false;
-    return m_placement.anyFor(job) && m_retries.tryRetry();
+    return m_placement.hasCandidate(job) && m_retries.tryRetry();
 }
 
 } // namespace catkinloft
--- a/src/Decide/Dispatcher.h
+++ b/src/Decide/Dispatcher.h
@@ -46,7 +46,8 @@
         RandomSource random;
         std::string self; ///< Name of this router.
         std::string failureDomain = {}; ///< Of this router.
-        int ownerGroup = OwnerGroups::UsualSize; ///< Upstreams of which one router keeps the count.
+        int ownerGroup =
+                OwnerGroups::DefaultSize; ///< Upstreams of which one router keeps the count.
     };
 
     /// \brief What was decided so far; only ever rises.
@@ -54,7 +55,7 @@
     {
         std::uint64_t placed = 0; ///< Sent to an upstream or an owner.
         std::uint64_t relayed = 0; ///< Of these, sent to the owner of the engine.
-        std::uint64_t guests = 0; ///< Of these, on an engine that another router owns.
+        std::uint64_t unowned = 0; ///< Of these, on an engine that another router owns.
         std::uint64_t overflowed = 0; ///< Of these, not on the first engine in the chat's order.
         std::uint64_t queued = 0;
         std::uint64_t refused = 0;
@@ -119,11 +120,11 @@
     void suspect(const std::string &owner, TimePoint now);
     const RouterView *ownerOf(std::size_t upstream) const;
     Result<void> admit(const Job &job);
-    bool place(const Job &job, TimePoint since, const Decided &decided, std::size_t hint);
-    bool relayToFirst(const Job &job, const Decided &decided);
-    void assign(const Job &job, TimePoint since, const Decided &decided, std::size_t i);
+    bool place(const Job &job, TimePoint submittedAt, const Decided &decided, std::size_t hint);
+    bool relayToFirstOwner(const Job &job, const Decided &decided);
+    void assign(const Job &job, TimePoint submittedAt, const Decided &decided, std::size_t i);
     void enqueue(Job job, Decided decided);
-    void drain(std::size_t hint);
+    void placeQueued(std::size_t hint);
     void refuse(const std::string &workspace, const Decided &decided, Error error);
     Error expiredError(const AdmissionQueue::Entry &entry) const;
     Error noUpstreamError() const;
@@ -141,7 +142,7 @@
     std::map<std::string, TimePoint> m_suspects; ///< Owners that failed a relay, until when.
     std::unordered_map<JobId, Running> m_running;
     std::map<std::string, int> m_inFlight; ///< By workspace, waiting or running.
-    std::deque<std::pair<Decided, Result<Assignment>>> m_ready;
+    std::deque<std::pair<Decided, Result<Assignment>>> m_pendingDecisions;
     bool m_flushing = false;
     TimePoint m_refreshAt;
     Counters m_counters;
--- a/src/Decide/RepeatBudget.cpp
+++ b/src/Decide/FleetRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "Decide/RepeatBudget.h"
+#include "Decide/FleetRetryBudget.h"
 
 #include <algorithm>
 
@@ -8,18 +8,18 @@
 
 /// Part of the allowance that is used. The rest covers repeats that are counted in the slot before
 /// they arrive, and routers that joined and are not known here yet.
-constexpr double UsedPart = 0.85;
+constexpr double UsedShare = 0.85;
 
 constexpr std::int64_t SlotsPerWindow = 10;
 
 } // namespace
 
-std::int64_t RepeatBudget::slotNumber() const
+std::int64_t FleetRetryBudget::slotNumber() const
 {
     return m_options.clock.now().time_since_epoch() / (m_options.window / SlotsPerWindow);
 }
 
-RepeatBudget::Slot &RepeatBudget::current()
+FleetRetryBudget::Slot &FleetRetryBudget::current()
 {
     const std::int64_t number = slotNumber();
     Slot &out = m_slots[static_cast<std::size_t>(number) % Slots];
@@ -28,12 +28,12 @@
     return out;
 }
 
-void RepeatBudget::countRequest()
+void FleetRetryBudget::countRequest()
 {
     ++current().requests;
 }
 
-bool RepeatBudget::tryRepeat(int routers)
+bool FleetRetryBudget::tryRetry(int routers)
 {
     const std::int64_t now = current().number;
     int requests = 0;
@@ -47,14 +47,14 @@
             requests += it.requests;
     }
     const double allowed =
-            UsedPart * (m_options.share * requests + m_options.slack / std::max(1, routers));
+            UsedShare * (m_options.share * requests + m_options.slack / std::max(1, routers));
     if (repeats + 1 > allowed)
         return false;
     ++current().repeats;
     return true;
 }
 
-void RepeatBudget::setOptions(double share, double slack)
+void FleetRetryBudget::setOptions(double share, double slack)
 {
     m_options.share = share;
     m_options.slack = slack;
--- a/src/Decide/RepeatBudget.h
+++ b/src/Decide/FleetRetryBudget.h
@@ -14,7 +14,7 @@
 /// multiply the traffic when the service is weakest. The limit for all routers is a share of the
 /// requests plus a fixed slack in any window. Each router keeps to its own share of the requests
 /// and to its part of the slack, so the sums hold also while routers do not hear each other.
-class RepeatBudget
+class FleetRetryBudget
 {
 public:
     struct Options
@@ -25,14 +25,14 @@
         Duration window = std::chrono::seconds(10); ///< Any span of this length counts.
     };
 
-    explicit RepeatBudget(Options options) : m_options(options) { }
+    explicit FleetRetryBudget(Options options) : m_options(options) { }
 
     /// \brief Counts the first sending of a request.
     void countRequest();
 
     /// \brief Asks for one more sending and counts it if it is allowed.
     /// \param routers how many share the slack.
-    bool tryRepeat(int routers);
+    bool tryRetry(int routers);
 
     /// \brief Changes the limits; what was counted stays.
     void setOptions(double share, double slack);
--- a/src/Decide/HealthTracker.cpp
+++ b/src/Decide/HealthTracker.cpp
@@ -54,7 +54,7 @@
     return it.state != before;
 }
 
-bool HealthTracker::ejectAtOnce(Entry &it, std::size_t poolSize, TimePoint now)
+bool HealthTracker::ejectImmediately(Entry &it, std::size_t poolSize, TimePoint now)
 {
     if (it.state != State::Healthy || !mayEject(poolSize))
         return false;
@@ -100,7 +100,7 @@
 
 void HealthTracker::addSetback(Entry &it, TimePoint now)
 {
-    if (it.setbacks > 0 && now - it.setbackAt > SetbackLife)
+    if (it.setbacks > 0 && now - it.setbackAt > SetbackLifetime)
         it.setbacks /= 2;
     it.setbacks = std::min(it.setbacks + 1, MaxSetbacks);
     it.setbackAt = now;
--- a/src/Decide/HealthTracker.h
+++ b/src/Decide/HealthTracker.h
@@ -24,7 +24,7 @@
     };
 
     /// How long an upstream's setbacks count against it; flapping is a matter of minutes.
-    static constexpr Duration SetbackLife = std::chrono::minutes(5);
+    static constexpr Duration SetbackLifetime = std::chrono::minutes(5);
 
     /// \brief Health of one upstream.
     struct Entry
@@ -52,7 +52,7 @@
 
     /// \brief Ejects \a it after one attempt, for a failure that no sound upstream shows.
     /// \returns whether it was healthy before and may be ejected.
-    bool ejectAtOnce(Entry &it, std::size_t poolSize, TimePoint now);
+    bool ejectImmediately(Entry &it, std::size_t poolSize, TimePoint now);
 
     /// \brief Compares with the median of \a entries; call about once a second.
     void updateBaseline(std::vector<double> costs);
--- a/src/Decide/Job.h
+++ b/src/Decide/Job.h
@@ -44,7 +44,7 @@
     Duration total = Duration::zero();
     /// A failure that says nothing of this upstream: the request had failed elsewhere before, or
     /// its time ended while the answer was coming.
-    bool blameless = false;
+    bool ignoredForHealth = false;
 };
 
 } // namespace catkinloft
--- a/src/Decide/LoadShedder.cpp
+++ b/src/Decide/LoadShedder.cpp
@@ -11,7 +11,7 @@
 /// A call may wait for this part of its target; its own work, the way, and what the queues grow by
 /// until all routers have heard of them need the rest. With half of it, short bursts that all would
 /// have been on time are held back too.
-constexpr double WaitPart = 0.35;
+constexpr double MaxWaitShare = 0.35;
 
 /// Steps of the share for each answer. Of 69 routers each gets three answers a second, so steps
 /// have to be large: with tenths of these the queues swing between empty and late, and of 250 calls
@@ -23,10 +23,10 @@
 constexpr double MinShare = 0.2;
 
 /// What a replica said is of use for so long: queues of 100 ms are gone by then.
-constexpr Duration HeardLife = 1500ms;
+constexpr Duration ReportLifetime = 1500ms;
 
 /// Without a full answer for so long the service is not full any more.
-constexpr Duration FullLife = 2s;
+constexpr Duration FullLifetime = 2s;
 
 constexpr double Smoothing = 0.1;
 
@@ -34,7 +34,7 @@
 
 bool LoadShedder::admits()
 {
-    if (m_share < 1 && m_options.clock.now() - m_fullAt > FullLife)
+    if (m_share < 1 && m_options.clock.now() - m_lastFullAt > FullLifetime)
         m_share = 1;
     return m_share >= 1 || uniform(m_options.random) < m_share;
 }
@@ -52,7 +52,7 @@
     // Where it always waits, the work of one call is what it took less its share of the queue.
     const double service =
             m_serviceSeconds > 0 ? m_serviceSeconds : toSeconds(took) / (1 + load.waiting / slots);
-    note(replica, load.waiting / slots * service > WaitPart * toSeconds(target), usable);
+    note(replica, load.waiting / slots * service > MaxWaitShare * toSeconds(target), usable);
 }
 
 void LoadShedder::refused(const std::string &replica, std::size_t usable)
@@ -63,21 +63,21 @@
 void LoadShedder::note(const std::string &replica, bool full, std::size_t usable)
 {
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_heard, [=](const auto &it) { return now - it.second.at > HeardLife; });
-    m_heard[replica] = {now, full};
+    std::erase_if(m_reports, [=](const auto &it) { return now - it.second.at > ReportLifetime; });
+    m_reports[replica] = {now, full};
     if (!full) {
         m_share = std::min(1.0, m_share + Increase);
-    } else if (allAreFull(usable)) {
-        m_fullAt = now;
+    } else if (allReplicasFull(usable)) {
+        m_lastFullAt = now;
         m_share = std::max(MinShare, m_share * Decrease);
     }
 }
 
-bool LoadShedder::allAreFull(std::size_t usable) const
+bool LoadShedder::allReplicasFull(std::size_t usable) const
 {
     // A router may not have heard of each one lately; of most it must have.
-    return 2 * m_heard.size() > usable
-            && std::all_of(m_heard.begin(), m_heard.end(),
+    return 2 * m_reports.size() > usable
+            && std::all_of(m_reports.begin(), m_reports.end(),
                            [](const auto &it) { return it.second.full; });
 }
 
--- a/src/Decide/LoadShedder.h
+++ b/src/Decide/LoadShedder.h
@@ -57,20 +57,20 @@
     double share() const { return m_share; }
 
 private:
-    struct Heard
+    struct ReplicaReport
     {
         TimePoint at;
         bool full = false; ///< A call that came then would be late.
     };
 
     void note(const std::string &replica, bool full, std::size_t usable);
-    bool allAreFull(std::size_t usable) const;
+    bool allReplicasFull(std::size_t usable) const;
 
     Options m_options;
     double m_share = 1;
     double m_serviceSeconds = 0; ///< Of a call that did not wait, moving average; 0: not known.
-    std::map<std::string, Heard> m_heard; ///< By replica.
-    TimePoint m_fullAt = {};
+    std::map<std::string, ReplicaReport> m_reports; ///< By replica.
+    TimePoint m_lastFullAt = {};
 };
 
 } // namespace catkinloft
--- a/src/Decide/OwnerGroups.h
+++ b/src/Decide/OwnerGroups.h
@@ -20,11 +20,11 @@
 public:
     /// Sixteen make the count exact for the whole of today's pools, and at full size leave each
     /// router one group of some eleven.
-    static constexpr int UsualSize = 16;
+    static constexpr int DefaultSize = 16;
 
     /// \param pool hash of the pool's name, which gives pools of one group different owners.
     /// \param upstreams in the pool. \param size upstreams of a group, about; 1: each its own.
-    OwnerGroups(std::uint64_t pool, std::size_t upstreams, int size = UsualSize)
+    OwnerGroups(std::uint64_t pool, std::size_t upstreams, int size = DefaultSize)
         : m_pool(pool), m_single(size == 1)
     {
         while (upstreams >> m_bits > static_cast<std::size_t>(size) && m_bits < MaxBits)
--- a/src/Decide/Placement.cpp
+++ b/src/Decide/Placement.cpp
@@ -21,10 +21,10 @@
 
 /// Samples for a job without a chat: two choices avoid the herd that "least loaded" makes of
 /// lagging reports.
-constexpr int Choices = 2;
+constexpr int RandomChoices = 2;
 
 /// A report that was not renewed for so long comes from a router that is gone.
-constexpr Duration ReportLife = 10s;
+constexpr Duration ReportLifetime = 10s;
 
 constexpr Duration BaselinePeriod = 1s;
 
@@ -52,8 +52,8 @@
         State state = old == byId.end() ? State() : std::move(before[old->second]);
         const bool returned = state.upstream.leaving && !it.leaving;
         state.id = id;
-        state.limit.setMost(it.slots);
-        if (!m_first && (old == byId.end() || returned)) {
+        state.limit.setMaximum(it.slots);
+        if (!m_isInitial && (old == byId.end() || returned)) {
             joined(state, it.name);
         }
         state.upstream = std::move(it);
@@ -68,7 +68,7 @@
     // Those leaving stay in the order: when one comes back, its chats find it in the same place.
     m_order.assign(nodes);
     buildGroups(pool);
-    m_first = m_first && m_states.empty();
+    m_isInitial = m_isInitial && m_states.empty();
     recount();
 }
 
@@ -76,7 +76,7 @@
 {
     // An engine that left the inventory and came back within minutes flaps; its record outlives it.
     std::erase_if(m_setbacks, [&](const auto &old) {
-        return m_now - old.second.at > HealthTracker::SetbackLife;
+        return m_now - old.second.at > HealthTracker::SetbackLifetime;
     });
     if (const auto known = m_setbacks.find(name); known != m_setbacks.end()) {
         it.health.setbacks = std::max(it.health.setbacks, known->second.count);
@@ -95,17 +95,18 @@
             continue;
         State &it = m_states[found->second];
         const std::uint64_t router = hash64(report.router);
-        auto heard = std::find_if(it.heard.begin(), it.heard.end(),
-                                  [&](const Heard &h) { return h.router == router; });
-        if (heard == it.heard.end())
-            heard = it.heard.insert(it.heard.end(), Heard{.router = router, .at = {}});
-        else if (heard->at >= report.measuredAt)
+        auto peerLoads = std::find_if(it.peerLoads.begin(), it.peerLoads.end(),
+                                      [&](const PeerLoad &h) { return h.router == router; });
+        if (peerLoads == it.peerLoads.end())
+            peerLoads =
+                    it.peerLoads.insert(it.peerLoads.end(), PeerLoad{.router = router, .at = {}});
+        else if (peerLoads->at >= report.measuredAt)
             continue;
         addToTotals(it, -1);
-        heard->work = report.work;
-        heard->inFlight = report.inFlight;
-        heard->at = report.measuredAt;
-        sumHeard(it);
+        peerLoads->work = report.work;
+        peerLoads->inFlight = report.inFlight;
+        peerLoads->at = report.measuredAt;
+        sumPeerLoads(it);
         addToTotals(it, 1);
     }
 }
@@ -114,37 +115,38 @@
 {
     m_now = m_options.clock.now();
     for (State &it : m_states) {
-        std::erase_if(it.heard, [&](const Heard &h) { return m_now - h.at > ReportLife; });
-        sumHeard(it);
+        std::erase_if(it.peerLoads,
+                      [&](const PeerLoad &h) { return m_now - h.at > ReportLifetime; });
+        sumPeerLoads(it);
     }
     recount();
 }
 
-void Placement::sumHeard(State &it)
+void Placement::sumPeerLoads(State &it)
 {
-    it.heardWork = 0;
-    it.heardInFlight = 0;
-    for (const Heard &h : it.heard) {
-        it.heardWork += h.work;
-        it.heardInFlight += h.inFlight;
+    it.peerWork = 0;
+    it.peerInFlight = 0;
+    for (const PeerLoad &h : it.peerLoads) {
+        it.peerWork += h.work;
+        it.peerInFlight += h.inFlight;
     }
 }
 
-bool Placement::inUse(const State &it) const
+bool Placement::isUsable(const State &it) const
 {
     return !it.upstream.leaving && it.health.state == HealthTracker::State::Healthy;
 }
 
-double Placement::seenWork(const State &it)
+double Placement::knownWork(const State &it)
 {
     // What this router relayed is not in it: the owner counts it exactly, and counting it here
     // until the owner's next report had routers pass over engines that had room.
-    return it.work + it.heardWork;
+    return it.work + it.peerWork;
 }
 
-int Placement::seenInFlight(const State &it)
+int Placement::knownInFlight(const State &it)
 {
-    return it.inFlight + it.heardInFlight;
+    return it.inFlight + it.peerInFlight;
 }
 
 void Placement::recount()
@@ -153,7 +155,7 @@
     m_totalWeight = 0;
     m_rampedWeight = 0;
     for (State &it : m_states) {
-        it.counted = inUse(it);
+        it.countsInMean = isUsable(it);
         it.ramp = HealthTracker::ramp(it.health, m_now);
         addToTotals(it, 1);
     }
@@ -161,9 +163,9 @@
 
 void Placement::addToTotals(State &it, double sign)
 {
-    if (!it.counted)
+    if (!it.countsInMean)
         return;
-    m_totalWork += sign * seenWork(it);
+    m_totalWork += sign * knownWork(it);
     m_totalWeight += sign * it.upstream.weight;
     m_rampedWeight += sign * it.upstream.weight * it.ramp;
 }
@@ -175,7 +177,7 @@
 
 double Placement::loadOf(std::size_t i) const
 {
-    return seenWork(m_states[i]);
+    return knownWork(m_states[i]);
 }
 
 double Placement::boundOf(std::size_t i, double work) const
@@ -205,14 +207,14 @@
     // Another router counts it exactly and will be asked; to judge it here by what was reported
     // a second ago would lose the chat's context for nothing.
     if (!it.owned && job.chatKey != 0 && job.hops == 0)
-        return inUse(it) && !isExcluded(it, job);
-    if (!it.limit.allows(seenInFlight(it)))
+        return isUsable(it) && !isExcluded(it, job);
+    if (!it.limit.allows(knownInFlight(it)))
         return false;
     if (it.health.state != HealthTracker::State::Healthy && !m_health.admits(it.health, m_now))
         return false;
     // Load may reach the bound plus this one job: a rule that counted the job in would leave an
     // engine idle whenever one job is larger than the bound.
-    return seenWork(it) < boundOf(i, job.work) && (job.excluded.empty() || !isExcluded(it, job));
+    return knownWork(it) < boundOf(i, job.work) && (job.excluded.empty() || !isExcluded(it, job));
 }
 
 std::size_t Placement::choose(const Job &job, std::size_t hint)
@@ -268,8 +270,8 @@
 std::size_t Placement::chooseByLoad(const Job &job)
 {
     const auto better = [&](std::size_t a, std::size_t b) {
-        const double loadA = seenWork(m_states[a]) / m_states[a].upstream.weight;
-        const double loadB = seenWork(m_states[b]) / m_states[b].upstream.weight;
+        const double loadA = knownWork(m_states[a]) / m_states[a].upstream.weight;
+        const double loadB = knownWork(m_states[b]) / m_states[b].upstream.weight;
         if (loadA != loadB)
             return loadA < loadB;
         // Equal loads: the near one saves half a millisecond and survives the loss of another
@@ -279,7 +281,7 @@
                 && m_states[b].upstream.failureDomain != own;
     };
     std::size_t best = None;
-    for (int i = 0; i < Choices; ++i) {
+    for (int i = 0; i < RandomChoices; ++i) {
         const std::size_t it = below(m_options.random, m_states.size());
         if (fits(it, job) && (best == None || better(it, best)))
             best = it;
@@ -298,17 +300,17 @@
     return None;
 }
 
-std::size_t Placement::firstOf(const Job &job)
+std::size_t Placement::firstUsable(const Job &job)
 {
     for (unsigned probe = 0; probe < MaxProbes && !m_states.empty(); ++probe) {
         const std::size_t i = m_order.at(job.chatKey, probe);
-        if (inUse(m_states[i]) && !isExcluded(m_states[i], job))
+        if (isUsable(m_states[i]) && !isExcluded(m_states[i], job))
             return i;
     }
     return None;
 }
 
-bool Placement::anyFor(const Job &job)
+bool Placement::hasCandidate(const Job &job)
 {
     return std::any_of(m_states.begin(), m_states.end(), [&](const State &it) {
         return !it.upstream.leaving && !isExcluded(it, job);
@@ -342,7 +344,7 @@
     it.limit.record(report);
     m_health.record(it.health, running.work, report, m_states.size(), m_now);
     it.lastBusy = m_now;
-    it.counted = inUse(it);
+    it.countsInMean = isUsable(it);
     it.ramp = HealthTracker::ramp(it.health, m_now);
     addToTotals(it, 1);
     if (m_now - m_baselineAt >= BaselinePeriod) {
@@ -363,7 +365,7 @@
     std::vector<LoadReport> out;
     for (const State &it : m_states) {
         // One that became idle is still told for a while, so that a lost message leaves no ghost.
-        if (it.inFlight == 0 && now - it.lastBusy > ReportLife)
+        if (it.inFlight == 0 && now - it.lastBusy > ReportLifetime)
             continue;
         out.push_back({.upstream = it.upstream.name,
                        .router = self,
--- a/src/Decide/Placement.h
+++ b/src/Decide/Placement.h
@@ -44,7 +44,7 @@
         const Clock &clock;
         RandomSource random;
         std::string failureDomain; ///< Of this router.
-        int ownerGroup = OwnerGroups::UsualSize;
+        int ownerGroup = OwnerGroups::DefaultSize;
     };
 
     /// \brief What start() counted, so that stop() can take it back.
@@ -80,10 +80,10 @@
     void setOwned(std::size_t i, bool owned) { m_states[i].owned = owned; }
 
     /// \returns the first upstream in the order of \a job that is in use, full or not.
-    std::size_t firstOf(const Job &job);
+    std::size_t firstUsable(const Job &job);
 
     /// \returns whether any upstream could ever take \a job.
-    bool anyFor(const Job &job);
+    bool hasCandidate(const Job &job);
 
     Running start(std::size_t i, const Job &job, bool relayed);
 
@@ -109,7 +109,7 @@
     const HealthTracker::Entry &healthOf(std::size_t i) const { return m_states[i].health; }
 
 private:
-    struct Heard
+    struct PeerLoad
     {
         std::uint64_t router = 0;
         double work = 0;
@@ -124,20 +124,20 @@
         std::uint64_t group = 0;
         double work = 0; ///< Sent by this router.
         int inFlight = 0;
-        std::vector<Heard> heard;
-        double heardWork = 0;
-        int heardInFlight = 0;
+        std::vector<PeerLoad> peerLoads;
+        double peerWork = 0;
+        int peerInFlight = 0;
         HealthTracker::Entry health;
         ConcurrencyLimit limit;
         bool owned = true;
-        bool counted = false; ///< Part of the mean.
+        bool countsInMean = false; ///< Part of the mean.
         double ramp = 1; ///< Of slow start, as of the last refresh.
         TimePoint lastBusy;
     };
 
-    bool inUse(const State &it) const;
-    static double seenWork(const State &it);
-    static int seenInFlight(const State &it);
+    bool isUsable(const State &it) const;
+    static double knownWork(const State &it);
+    static int knownInFlight(const State &it);
     bool fits(std::size_t i, const Job &job);
     static bool isExcluded(const State &it, const Job &job);
     void buildGroups(std::uint64_t pool);
@@ -146,7 +146,7 @@
     std::size_t scan(const Job &job, std::size_t first);
     void addToTotals(State &it, double sign);
     void recount();
-    static void sumHeard(State &it);
+    static void sumPeerLoads(State &it);
     void joined(State &it, const std::string &name);
 
     Options m_options;
@@ -167,7 +167,7 @@
     double m_totalWork = 0;
     double m_totalWeight = 0;
     double m_rampedWeight = 0;
-    bool m_first = true;
+    bool m_isInitial = true;
 };
 
 } // namespace catkinloft
--- a/src/Decide/PromptPace.h
+++ b/src/Decide/PrefillTimeout.h
@@ -14,7 +14,7 @@
 ///
 /// The pace is learned from prompts of which nothing was kept, so it follows the engines and their
 /// usual load.
-class PromptPace
+class PrefillTimeout
 {
 public:
     /// \brief Takes note that the first event came \a after a prompt of \a tokens was sent to an
@@ -22,13 +22,13 @@
     void observe(double tokens, Duration after);
 
     /// \returns the time in which a sound engine has read \a tokens, whatever it keeps of them.
-    Duration allowance(double tokens) const;
+    Duration timeoutFor(double tokens) const;
 
 private:
-    double m_secondsPerToken = InitialPace;
+    double m_secondsPerToken = InitialSecondsPerToken;
 
     /// Before anything is known: 20 tokens a millisecond, a third of what common engines read.
-    static constexpr double InitialPace = 50e-6;
+    static constexpr double InitialSecondsPerToken = 50e-6;
 };
 
 } // namespace catkinloft
--- a/src/Decide/PromptIndex.cpp
+++ b/src/Decide/PromptIndex.cpp
@@ -7,7 +7,7 @@
 void PromptIndex::note(std::uint64_t replica, std::uint64_t part)
 {
     if (m_holders.size() >= m_options.maxParts && !m_holders.contains(part))
-        dropOld();
+        evictExpired();
     std::vector<Holder> &list = m_holders[part];
     const auto it = std::find_if(list.begin(), list.end(),
                                  [=](const Holder &holder) { return holder.replica == replica; });
@@ -56,7 +56,7 @@
     return out;
 }
 
-void PromptIndex::dropOld()
+void PromptIndex::evictExpired()
 {
     const TimePoint oldest = m_options.clock.now() - m_options.life;
     for (auto &[part, list] : m_holders)
--- a/src/Decide/PromptIndex.h
+++ b/src/Decide/PromptIndex.h
@@ -63,7 +63,7 @@
         TimePoint usedAt;
     };
 
-    void dropOld();
+    void evictExpired();
 
     Options m_options;
     std::unordered_map<std::uint64_t, std::vector<Holder>> m_holders; ///< By part.
--- a/src/Decide/ReplicaPool.cpp
+++ b/src/Decide/ReplicaPool.cpp
@@ -2,7 +2,7 @@
 
 #include "Base/Hash.h"
 #include "Base/Log.h"
-#include "Decide/ColdPace.h"
+#include "Decide/ColdRateLimit.h"
 #include "Decide/Rendezvous.h"
 
 #include <algorithm>
@@ -33,8 +33,8 @@
 
 /// Costs that differ by less are equal, and the rendezvous order decides: this part of the prompt,
 /// and at least so many tokens.
-constexpr double EqualPart = 0.1;
-constexpr double EqualTokens = 100;
+constexpr double EqualCostShare = 0.1;
+constexpr double EqualCostTokens = 100;
 
 /// A prompt that is kept nowhere, or by several, goes to the second of its order where the first
 /// has this many more requests. Two choices spread 25 long chats over nine engines so that fewer
@@ -47,18 +47,18 @@
 
 /// Counts of a router that was not heard for so long say nothing about now; twice the slowest
 /// pause between two of its messages.
-constexpr Duration CountsLife = 3s;
+constexpr Duration UpdateLifetime = 3s;
 
 /// How often routers that fell silent are looked for.
-constexpr Duration ForgetInterval = 500ms;
+constexpr Duration ExpiryCheckInterval = 500ms;
 
 /// Other routers that have to have ejected a replica before it gets nothing here. One may be cut
 /// off from it alone, and where one call in seven fails by itself a router ejects a sound replica
 /// every fifty seconds; three at once are a fault of the replica.
-constexpr int MinEjectors = 3;
+constexpr int MinPeerEjections = 3;
 
 /// A good answer in so short a time goes before what the others say.
-constexpr Duration OwnEvidenceLife = 2s;
+constexpr Duration OwnSuccessLifetime = 2s;
 
 /// How long an ejected replica waits for a call that may be repeated to try it. Where there is none
 /// by then, one that may not be is sent: the loss of one call, instead of a replica for good.
@@ -66,32 +66,32 @@
 
 /// Ejected replicas that one beat tells of, 15 bytes each. Of 28 silent engines a router ejects
 /// some six itself before it hears of the others.
-constexpr std::size_t MaxToldEjected = 16;
+constexpr std::size_t MaxAnnouncedEjections = 16;
 
 /// How often the usual cost of a call is worked out anew.
 constexpr Duration BaselineInterval = 1s;
 
 /// A call stays in its failure domain unless another domain's replica has this much less in
 /// progress: leaving costs a millisecond, waiting behind another request costs its service time.
-constexpr double DomainBonus = 0.9;
+constexpr double LocalDomainFactor = 0.9;
 
 /// How long an entry may be behind its replica: a heartbeat, a read of the store, and the telling.
-constexpr Duration EntryLag = 3s;
+constexpr Duration MaxEntryDelay = 3s;
 
 /// How long a replica that was away counts as cold if it answers again: it is left out for some of
 /// that time, and its entry is behind for the rest.
-constexpr Duration AwayCold = 6s;
+constexpr Duration UnreachableColdTime = 6s;
 
 /// How long it is kept whether this router may send to a cold replica: it takes a look at all
 /// routers.
-constexpr Duration SenderLife = 500ms;
+constexpr Duration ColdSenderLifetime = 500ms;
 
 bool contains(std::span<const std::string> ids, const std::string &id)
 {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-bool mayTake(const ReplicaPool::Query &query, const std::string &incarnation)
+bool isSelectable(const ReplicaPool::Query &query, const std::string &incarnation)
 {
     return !contains(query.excluded, incarnation)
             && (query.only.empty() || contains(query.only, incarnation));
@@ -115,20 +115,21 @@
             known->incarnation.clear();
         } else {
             const std::uint64_t hash = hash64(incarnation);
-            const auto pause = m_pauses.find(incarnation);
-            next.push_back({.record = it,
-                            .incarnation = std::move(incarnation),
-                            .hash = hash,
-                            .leftOutUntil = pause == m_pauses.end() ? TimePoint() : pause->second});
+            const auto pause = m_exclusions.find(incarnation);
+            next.push_back(
+                    {.record = it,
+                     .incarnation = std::move(incarnation),
+                     .hash = hash,
+                     .excludedUntil = pause == m_exclusions.end() ? TimePoint() : pause->second});
         }
     }
     const TimePoint now = m_options.clock.now();
-    std::erase_if(m_pauses, [now](const auto &it) { return it.second <= now; });
+    std::erase_if(m_exclusions, [now](const auto &it) { return it.second <= now; });
     for (const State &it : m_states) {
         if (it.incarnation.empty())
             continue;
-        if (it.leftOutUntil > now)
-            m_pauses[it.incarnation] = it.leftOutUntil;
+        if (it.excludedUntil > now)
+            m_exclusions[it.incarnation] = it.excludedUntil;
         m_health.removed(it.health);
         m_prompts.remove(it.hash);
     }
@@ -142,36 +143,37 @@
     for (std::size_t i = 0; i < m_states.size(); ++i) {
         m_index.emplace(m_states[i].incarnation, i);
         m_states[i].others = 0;
-        m_states[i].ejectedBy = 0;
+        m_states[i].ejectedByPeers = 0;
     }
-    for (const auto &[router, heard] : m_heard)
+    for (const auto &[router, heard] : m_receivedUpdates)
         add(heard.news, 1);
 }
 
-void ReplicaPool::setNews(const std::string &router, ReplicaNews news, TimePoint heard)
+void ReplicaPool::applyStatusUpdate(const std::string &router, ReplicaStatusUpdate news,
+                                    TimePoint heard)
 {
-    forgetSilent();
-    Heard &known = m_heard[router];
+    removeExpiredUpdates();
+    ReceivedUpdate &known = m_receivedUpdates[router];
     add(known.news, -1);
     known = {std::move(news), heard};
     add(known.news, 1);
 }
 
-void ReplicaPool::forgetSilent()
+void ReplicaPool::removeExpiredUpdates()
 {
     const TimePoint now = m_options.clock.now();
-    if (now - m_forgotAt < ForgetInterval)
+    if (now - m_expiryCheckedAt < ExpiryCheckInterval)
         return;
-    m_forgotAt = now;
-    for (auto it = m_heard.begin(); it != m_heard.end();) {
-        const bool silent = now - it->second.at > CountsLife;
+    m_expiryCheckedAt = now;
+    for (auto it = m_receivedUpdates.begin(); it != m_receivedUpdates.end();) {
+        const bool silent = now - it->second.at > UpdateLifetime;
         if (silent)
             add(it->second.news, -1);
-        it = silent ? m_heard.erase(it) : std::next(it);
+        it = silent ? m_receivedUpdates.erase(it) : std::next(it);
     }
 }
 
-void ReplicaPool::add(const ReplicaNews &news, int sign)
+void ReplicaPool::add(const ReplicaStatusUpdate &news, int sign)
 {
     for (const auto &[id, n] : news.counts) {
         if (State *it = find(id))
@@ -179,7 +181,7 @@
     }
     for (const std::string &id : news.ejected) {
         if (State *it = find(id))
-            it->ejectedBy += sign;
+            it->ejectedByPeers += sign;
     }
 }
 
@@ -197,31 +199,31 @@
         total += it.load;
     const std::size_t n = list.size();
     if (!m_options.isEngine || !m_options.mechanisms.promptPlacement || query.prompt.empty())
-        return describe(*byLoad(list), {}, total, n);
-    return describe(*byPrompt(list, query.prompt), query.prompt, total, n);
+        return makeChoice(*chooseByLoad(list), {}, total, n);
+    return makeChoice(*chooseByPrompt(list, query.prompt), query.prompt, total, n);
 }
 
-ReplicaPool::Choice ReplicaPool::describe(const State &it, std::span<const PromptPart> prompt,
-                                          double total, std::size_t n) const
+ReplicaPool::Choice ReplicaPool::makeChoice(const State &it, std::span<const PromptPart> prompt,
+                                            double total, std::size_t n) const
 {
     return {.replica = &it.record,
             .copyFrom = prompt.empty() ? nullptr : copySource(it, prompt),
             .load = it.own + it.others,
             .meanLoad = total / static_cast<double>(n),
             .candidates = static_cast<int>(n),
-            .keptTokens = m_prompts.cachedTokens(it.hash, prompt)};
+            .cachedPromptTokens = m_prompts.cachedTokens(it.hash, prompt)};
 }
 
-std::vector<ReplicaPool::Candidate> ReplicaPool::candidates(const Query &query, bool regardHealth)
+std::vector<ReplicaPool::Candidate> ReplicaPool::candidates(const Query &query, bool checkHealth)
 {
     const TimePoint now = m_options.clock.now();
-    const bool regardNews = mayAvoid();
+    const bool usePeerEjections = mayUsePeerEjections();
     std::vector<Candidate> out;
     out.reserve(m_states.size());
     for (State &it : m_states) {
         if (!isEligible(it, query, now))
             continue;
-        if (regardHealth && !isAdmitted(it, query, regardNews))
+        if (checkHealth && !isHealthy(it, query, usePeerEjections))
             continue;
         out.push_back({&it, static_cast<double>(it.own + it.others), 0});
     }
@@ -230,24 +232,25 @@
 
 bool ReplicaPool::isEligible(State &it, const Query &query, TimePoint now) const
 {
-    return !it.record.draining && now >= it.leftOutUntil && mayTake(query, it.incarnation)
-            && !isEvacuated(it) && isAllowed(it, query) && !bearsNone(it, now);
+    return !it.record.draining && now >= it.excludedUntil && isSelectable(query, it.incarnation)
+            && !isEvacuated(it) && isRegionAllowed(it, query) && !isColdRateLimited(it, now);
 }
 
 void ReplicaPool::setEvacuated(std::set<std::string> domains)
 {
-    const TimePoint until = m_options.clock.now() + EntryLag;
+    const TimePoint until = m_options.clock.now() + MaxEntryDelay;
     for (State &it : m_states) {
         if (isEvacuated(it) && !domains.contains(it.record.failureDomain))
-            it.maybeColdUntil = std::max(it.maybeColdUntil, until);
+            it.assumedColdUntil = std::max(it.assumedColdUntil, until);
     }
     m_evacuated = std::move(domains);
 }
 
-void ReplicaPool::noteAway(std::string_view id)
+void ReplicaPool::noteUnreachable(std::string_view id)
 {
     if (State *it = find(id))
-        it->maybeColdUntil = std::max(it->maybeColdUntil, m_options.clock.now() + AwayCold);
+        it->assumedColdUntil =
+                std::max(it->assumedColdUntil, m_options.clock.now() + UnreachableColdTime);
 }
 
 bool ReplicaPool::isEvacuated(const State &it) const
@@ -255,7 +258,7 @@
     return !m_evacuated.empty() && m_evacuated.contains(it.record.failureDomain);
 }
 
-bool ReplicaPool::isAllowed(const State &it, const Query &query) const
+bool ReplicaPool::isRegionAllowed(const State &it, const Query &query) const
 {
     if (query.regions.empty() && query.workspaceRegions.empty())
         return true;
@@ -264,45 +267,46 @@
             && (query.workspaceRegions.empty() || contains(query.workspaceRegions, region));
 }
 
-bool ReplicaPool::bearsNone(State &it, TimePoint now) const
+bool ReplicaPool::isColdRateLimited(State &it, TimePoint now) const
 {
-    if (m_coldLimit <= 0 || now >= std::max(it.record.coldUntil, it.maybeColdUntil))
+    if (m_coldRateLimit <= 0 || now >= std::max(it.record.coldUntil, it.assumedColdUntil))
         return false;
-    const ColdPace pace = ColdPace::shareOf(m_coldLimit, m_options.routers());
-    if (it.senderCheckedAt == TimePoint::min() || now - it.senderCheckedAt >= SenderLife) {
+    const ColdRateLimit pace = ColdRateLimit::fromFleetLimit(m_coldRateLimit, m_options.routers());
+    if (it.senderCheckedAt == TimePoint::min() || now - it.senderCheckedAt >= ColdSenderLifetime) {
         it.senderCheckedAt = now;
         it.isColdSender = m_options.isColdSender(it.incarnation, pace.senders);
     }
-    return !it.isColdSender || (it.sentAt != TimePoint::min() && now - it.sentAt < pace.spacing);
+    return !it.isColdSender
+            || (it.lastSentAt != TimePoint::min() && now - it.lastSentAt < pace.minInterval);
 }
 
-bool ReplicaPool::isAdmitted(State &it, const Query &query, bool regardNews)
+bool ReplicaPool::isHealthy(State &it, const Query &query, bool usePeerEjections)
 {
     const TimePoint now = m_options.clock.now();
-    if (!m_health.admits(it.health, now) || (regardNews && isAvoided(it)))
+    if (!m_health.admits(it.health, now) || (usePeerEjections && isEjectedByPeers(it)))
         return false;
     const bool probe = it.health.state == HealthTracker::State::HalfOpen;
-    return !probe || query.repeatable || now - it.health.ejectedUntil > ProbeGrace;
+    return !probe || query.retryable || now - it.health.ejectedUntil > ProbeGrace;
 }
 
-bool ReplicaPool::isAvoided(const State &it) const
+bool ReplicaPool::isEjectedByPeers(const State &it) const
 {
-    return m_options.mechanisms.toldEjections && it.ejectedBy >= MinEjectors
+    return m_options.mechanisms.toldEjections && it.ejectedByPeers >= MinPeerEjections
             && it.health.state == HealthTracker::State::Healthy
-            && m_options.clock.now() - it.answeredAt > OwnEvidenceLife;
+            && m_options.clock.now() - it.lastSuccessAt > OwnSuccessLifetime;
 }
 
-bool ReplicaPool::mayAvoid() const
+bool ReplicaPool::mayUsePeerEjections() const
 {
     const auto avoided = std::count_if(m_states.begin(), m_states.end(),
-                                       [this](const State &it) { return isAvoided(it); });
+                                       [this](const State &it) { return isEjectedByPeers(it); });
     const double share = m_health.maxEjectedShare();
     return static_cast<double>(avoided + m_health.ejectedCount())
             <= share * static_cast<double>(m_states.size());
 }
 
-ReplicaPool::State *ReplicaPool::byPrompt(std::vector<Candidate> &list,
-                                          std::span<const PromptPart> prompt) const
+ReplicaPool::State *ReplicaPool::chooseByPrompt(std::vector<Candidate> &list,
+                                                std::span<const PromptPart> prompt) const
 {
     double tokens = 0;
     for (const PromptPart &it : prompt)
@@ -320,13 +324,13 @@
                 + TokensPerRequest * std::max(0.0, it.load - mean);
         least = std::min(least, it.cost);
     }
-    const double equal = least + std::max(EqualTokens, EqualPart * tokens);
+    const double equal = least + std::max(EqualCostTokens, EqualCostShare * tokens);
     std::erase_if(list, [=](const Candidate &it) { return it.cost > equal; });
-    return firstOrSecond(list, prompt.back().id);
+    return chooseByRendezvous(list, prompt.back().id);
 }
 
-ReplicaPool::State *ReplicaPool::firstOrSecond(const std::vector<Candidate> &list,
-                                               std::uint64_t key)
+ReplicaPool::State *ReplicaPool::chooseByRendezvous(const std::vector<Candidate> &list,
+                                                    std::uint64_t key)
 {
     const Candidate *first = nullptr;
     const Candidate *second = nullptr;
@@ -355,7 +359,7 @@
     const ReplicaRecord *best = nullptr;
     double most = m_prompts.cachedTokens(target.hash, prompt) + MinCopiedTokens;
     for (const State &it : m_states) {
-        if (&it == &target || now < it.leftOutUntil)
+        if (&it == &target || now < it.excludedUntil)
             continue;
         const double tokens = m_prompts.cachedTokens(it.hash, prompt);
         if (tokens > most) {
@@ -366,7 +370,7 @@
     return best;
 }
 
-ReplicaPool::State *ReplicaPool::byLoad(const std::vector<Candidate> &list) const
+ReplicaPool::State *ReplicaPool::chooseByLoad(const std::vector<Candidate> &list) const
 {
     State *best = nullptr;
     double bestCost = 0;
@@ -375,7 +379,7 @@
         const double share = (it.load + 1) / std::max(1, it.state->record.slots);
         // Routers that all hear the same counts would otherwise all take the same replica.
         const double cost =
-                share * (near ? DomainBonus : 1) * (1 + 0.05 * uniform(m_options.random));
+                share * (near ? LocalDomainFactor : 1) * (1 + 0.05 * uniform(m_options.random));
         if (!best || cost < bestCost) {
             best = it.state;
             bestCost = cost;
@@ -405,7 +409,7 @@
     if (!it)
         return;
     ++it->own;
-    it->sentAt = m_options.clock.now();
+    it->lastSentAt = m_options.clock.now();
     it->health.probing = it->health.state == HealthTracker::State::HalfOpen;
     for (const PromptPart &part : prompt)
         m_prompts.note(it->hash, part.id);
@@ -438,19 +442,19 @@
     if (!it)
         return false;
     it->own = std::max(0, it->own - 1);
-    if (!report.succeeded && (report.reason == Reason::CallerGone || report.blameless)) {
+    if (!report.succeeded && (report.reason == Reason::CallerGone || report.ignoredForHealth)) {
         it->health.probing = false;
         return false;
     }
     const TimePoint now = m_options.clock.now();
     if (report.succeeded)
-        it->answeredAt = now;
+        it->lastSuccessAt = now;
     bool changed = m_health.record(it->health, 1, report, m_states.size(), now);
     // A router sends each of 140 engines a request in twelve seconds; it can't wait for a third
     // one.
     const bool silent = !report.succeeded && report.reason == Reason::UpstreamTimeout;
     if (m_options.isEngine && silent)
-        changed = m_health.ejectAtOnce(it->health, m_states.size(), now) || changed;
+        changed = m_health.ejectImmediately(it->health, m_states.size(), now) || changed;
     if (!changed)
         return false;
     const bool ejected = it->health.state == HealthTracker::State::Ejected;
@@ -459,37 +463,37 @@
                {"service", it->record.service},
                {"failures_in_row", it->health.failuresInRow},
                {"error_rate", it->health.errorRate},
-               {"ejected_by_others", it->ejectedBy},
+               {"ejected_by_others", it->ejectedByPeers},
                {"for_ms", ejected ? (it->health.ejectedUntil - now) / 1ms : 0}});
     return ejected;
 }
 
-void ReplicaPool::leaveOut(std::string_view id, Duration pause)
+void ReplicaPool::excludeFor(std::string_view id, Duration pause)
 {
     if (State *it = find(id))
-        it->leftOutUntil = std::max(it->leftOutUntil, m_options.clock.now() + pause);
+        it->excludedUntil = std::max(it->excludedUntil, m_options.clock.now() + pause);
 }
 
-Duration ReplicaPool::untilReturn() const
+Duration ReplicaPool::timeUntilAvailable() const
 {
     const TimePoint now = m_options.clock.now();
     std::optional<Duration> out;
     for (const State &it : m_states) {
         if (!it.record.draining && !isEvacuated(it))
-            out = std::min(out.value_or(Duration::max()), it.leftOutUntil - now);
+            out = std::min(out.value_or(Duration::max()), it.excludedUntil - now);
     }
     return std::max(Duration::zero(), out.value_or(Duration::zero()));
 }
 
-ReplicaNews ReplicaPool::ownNews() const
+ReplicaStatusUpdate ReplicaPool::ownStatusUpdate() const
 {
     const TimePoint now = m_options.clock.now();
-    ReplicaNews out;
+    ReplicaStatusUpdate out;
     for (const State &it : m_states) {
         if (it.own > 0)
             out.counts.emplace(it.incarnation, it.own);
         if (it.health.state == HealthTracker::State::Ejected && now < it.health.ejectedUntil
-            && out.ejected.size() < MaxToldEjected)
+            && out.ejected.size() < MaxAnnouncedEjections)
             out.ejected.push_back(it.incarnation);
     }
     return out;
@@ -520,7 +524,7 @@
     const TimePoint now = m_options.clock.now();
     return static_cast<std::size_t>(
             std::count_if(m_states.begin(), m_states.end(), [this, now](const State &it) {
-                return !it.record.draining && now >= it.leftOutUntil && !isEvacuated(it);
+                return !it.record.draining && now >= it.excludedUntil && !isEvacuated(it);
             }));
 }
 
--- a/src/Decide/ReplicaPool.h
+++ b/src/Decide/ReplicaPool.h
@@ -25,7 +25,7 @@
 using ReplicaCounts = std::map<std::string, int, std::less<>>;
 
 /// \brief What one router tells the others of replicas.
-struct ReplicaNews
+struct ReplicaStatusUpdate
 {
     std::vector<std::string> leaving =
             {}; ///< Incarnations that have told the router that they leave.
@@ -55,7 +55,7 @@
 /// three others have ejected gets nothing here either, unless it has just answered well here, since
 /// it may fail for some callers only. Calls that may be repeated find out whether it is well again.
 /// A replica in an evacuated failure domain gets nothing on any way; a cold one no more than its
-/// share of what it bears, \sa ColdPace. Both hold where no other replica is left.
+/// share of what it bears, \sa ColdRateLimit. Both hold where no other replica is left.
 ///
 /// An engine that falls silent is ejected at its first overdue answer: of 28 silent ones among 140
 /// that halves the requests that are sent there in eight seconds.
@@ -84,7 +84,7 @@
         std::span<const PromptPart> prompt = {}; ///< Parts that other requests may share.
         std::span<const std::string> excluded = {}; ///< Incarnations on which an attempt failed.
         std::span<const std::string> only = {}; ///< If not empty: no others may be chosen.
-        bool repeatable = true; ///< It may be sent once more where a replica fails it.
+        bool retryable = true; ///< It may be sent once more where a replica fails it.
         /// Regions of replicas that its route and its workspace allow; empty: all.
         std::span<const std::string> regions = {};
         std::span<const std::string> workspaceRegions = {};
@@ -98,7 +98,7 @@
         int load = 0; ///< Requests in progress on the replica, as far as known.
         double meanLoad = 0; ///< Over the replicas that it was chosen from.
         int candidates = 0; ///< How many those were.
-        double keptTokens = 0; ///< Of the prompt, that the replica is believed to keep.
+        double cachedPromptTokens = 0; ///< Of the prompt, that the replica is believed to keep.
     };
 
     explicit ReplicaPool(Options options);
@@ -112,14 +112,14 @@
 
     /// \brief Notes that replica \a id could not be reached or has ended: if it comes back, it is
     /// cold before its entry says so.
-    void noteAway(std::string_view id);
+    void noteUnreachable(std::string_view id);
 
     /// \brief Sets the requests that a cold replica bears in one second from all routers together;
     /// 0: replicas are never cold.
-    void setColdLimit(double requests) { m_coldLimit = requests; }
+    void setColdRateLimit(double requests) { m_coldRateLimit = requests; }
 
     /// \brief Takes over what \a router told at \a heard.
-    void setNews(const std::string &router, ReplicaNews news, TimePoint heard);
+    void applyStatusUpdate(const std::string &router, ReplicaStatusUpdate news, TimePoint heard);
 
     /// \returns the replica for \a query.
     Choice choose(const Query &query);
@@ -135,7 +135,7 @@
     PromptsByReplica prompts(std::size_t most) const;
 
     /// \returns whether nothing is known of prompts that replicas keep.
-    bool knowsNoPrompts() const { return m_prompts.isEmpty(); }
+    bool isPromptIndexEmpty() const { return m_prompts.isEmpty(); }
 
     /// \brief Takes the count back and judges the replica by \a report.
     /// \returns whether the replica was ejected by it, which the other routers should hear.
@@ -143,14 +143,14 @@
 
     /// \brief Leaves \a id out for \a pause, because it asked for that, refused a connection or is
     /// another replica. A longer pause stays, also where its entry goes and comes back.
-    void leaveOut(std::string_view id, Duration pause);
+    void excludeFor(std::string_view id, Duration pause);
 
     /// \returns how long all replicas that do not leave are still left out; zero where one is not,
     /// or there is none.
-    Duration untilReturn() const;
+    Duration timeUntilAvailable() const;
 
     /// \returns what the other routers should know.
-    ReplicaNews ownNews() const;
+    ReplicaStatusUpdate ownStatusUpdate() const;
 
     /// \returns requests in progress on replica \a id over all routers, as far as known.
     int inProgress(std::string_view id) const;
@@ -176,18 +176,18 @@
         std::uint64_t hash = 0;
         int own = 0; ///< Requests in progress from this router.
         int others = 0; ///< The same from the others, as last heard.
-        int ejectedBy = 0; ///< Other routers that have ejected it, as last heard.
-        TimePoint answeredAt = {}; ///< Its last good answer to this router.
-        TimePoint leftOutUntil = {};
-        TimePoint maybeColdUntil = {}; ///< Its entry may not tell yet that it is.
-        TimePoint sentAt = TimePoint::min(); ///< The last request from this router.
+        int ejectedByPeers = 0; ///< Other routers that have ejected it, as last heard.
+        TimePoint lastSuccessAt = {}; ///< Its last good answer to this router.
+        TimePoint excludedUntil = {};
+        TimePoint assumedColdUntil = {}; ///< Its entry may not tell yet that it is.
+        TimePoint lastSentAt = TimePoint::min(); ///< The last request from this router.
         bool isColdSender = false; ///< \sa Options::isColdSender, as of senderCheckedAt.
         TimePoint senderCheckedAt = TimePoint::min();
         HealthTracker::Entry health = {};
     };
-    struct Heard
+    struct ReceivedUpdate
     {
-        ReplicaNews news;
+        ReplicaStatusUpdate news;
         TimePoint at;
     };
     struct Candidate
@@ -199,33 +199,33 @@
 
     State *find(std::string_view id);
     const State *find(std::string_view id) const;
-    Choice describe(const State &it, std::span<const PromptPart> prompt, double total,
-                    std::size_t n) const;
-    std::vector<Candidate> candidates(const Query &query, bool regardHealth);
-    bool isAdmitted(State &it, const Query &query, bool regardNews);
+    Choice makeChoice(const State &it, std::span<const PromptPart> prompt, double total,
+                      std::size_t n) const;
+    std::vector<Candidate> candidates(const Query &query, bool checkHealth);
+    bool isHealthy(State &it, const Query &query, bool usePeerEjections);
     bool isEligible(State &it, const Query &query, TimePoint now) const;
-    bool isAllowed(const State &it, const Query &query) const;
+    bool isRegionAllowed(const State &it, const Query &query) const;
     bool isEvacuated(const State &it) const;
-    bool bearsNone(State &it, TimePoint now) const;
-    bool isAvoided(const State &it) const;
-    bool mayAvoid() const;
-    State *byPrompt(std::vector<Candidate> &list, std::span<const PromptPart> prompt) const;
-    static State *firstOrSecond(const std::vector<Candidate> &list, std::uint64_t key);
-    State *byLoad(const std::vector<Candidate> &list) const;
+    bool isColdRateLimited(State &it, TimePoint now) const;
+    bool isEjectedByPeers(const State &it) const;
+    bool mayUsePeerEjections() const;
+    State *chooseByPrompt(std::vector<Candidate> &list, std::span<const PromptPart> prompt) const;
+    static State *chooseByRendezvous(const std::vector<Candidate> &list, std::uint64_t key);
+    State *chooseByLoad(const std::vector<Candidate> &list) const;
     const ReplicaRecord *copySource(const State &target, std::span<const PromptPart> prompt) const;
     void rebuildIndex();
-    void forgetSilent();
-    void add(const ReplicaNews &news, int sign);
+    void removeExpiredUpdates();
+    void add(const ReplicaStatusUpdate &news, int sign);
     void updateBaseline();
 
     Options m_options;
     std::vector<State> m_states;
     std::map<std::string, std::size_t, std::less<>> m_index; ///< Into m_states, by incarnation.
-    std::map<std::string, TimePoint, std::less<>> m_pauses; ///< Of replicas without an entry.
-    std::map<std::string, Heard> m_heard; ///< By router.
+    std::map<std::string, TimePoint, std::less<>> m_exclusions; ///< Of replicas without an entry.
+    std::map<std::string, ReceivedUpdate> m_receivedUpdates; ///< By router.
     std::set<std::string> m_evacuated; ///< Failure domains.
-    double m_coldLimit = 0; ///< \sa setColdLimit()
-    TimePoint m_forgotAt;
+    double m_coldRateLimit = 0; ///< \sa setColdRateLimit()
+    TimePoint m_expiryCheckedAt;
     HealthTracker m_health;
     PromptIndex m_prompts;
     TimePoint m_baselineAt;
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -19,17 +19,17 @@
 
 /// All that runs on a replica breaks within milliseconds of its end; routers tell each other ages,
 /// which are off by the time on the way.
-constexpr Duration EndSpread = 250ms;
+constexpr Duration CrashDetectionSpread = 250ms;
 
 /// How long a request that is not held back stays suspect after its last end.
-constexpr Duration SuspicionLife = 10min;
+constexpr Duration SuspicionLifetime = 10min;
 
 /// How long a router remembers that a request was cleared, for those that lack the news.
-constexpr Duration ClearedLife = 30s;
+constexpr Duration ClearedLifetime = 30s;
 
 /// A record that was cleared so lately is not brought up to date: a request that many send
 /// completes many times a second.
-constexpr Duration ClearedStep = 500ms;
+constexpr Duration ClearedResolution = 500ms;
 
 /// Time for the news of other routers to come: a request that shares the ends may have more of
 /// them.
@@ -39,31 +39,31 @@
 constexpr Duration TrialSpacing = 2s;
 
 /// Longest trial that keeps others of the same router waiting.
-constexpr Duration TrialTime = 5s;
+constexpr Duration TrialTimeout = 5s;
 
 /// Messages that carry a piece of news: the first to the routers that come next, the others for
 /// datagrams that are lost. Each router that learns it passes it on.
-constexpr int Tellings = 3;
+constexpr int SendsToAll = 3;
 
 /// The same to the keepers of a request's evidence.
-constexpr int KeeperTellings = 2;
+constexpr int SendsToHolders = 2;
 
 /// How often one of the requests that are held back is told again, for routers that started or were
 /// cut off. They hear it from all others in turn.
-constexpr Duration RepeatInterval = 2s;
+constexpr Duration ReannounceInterval = 2s;
 
 /// Of one message, which has to fit a datagram beside what else it carries: some 500 bytes.
-constexpr std::size_t MaxToldRecords = 8;
-constexpr std::size_t MaxToldEnds = 8;
+constexpr std::size_t MaxRecordsPerMessage = 8;
+constexpr std::size_t MaxCrashesPerMessage = 8;
 
 /// Requests whose first end is told at once; more only run on a replica with as many places.
-constexpr std::size_t MaxToldFirstEnds = 64;
+constexpr std::size_t MaxFirstCrashes = 64;
 
 /// Nothing is remembered for so long; what is told as older is a mistake.
-constexpr Duration MaxToldAge = 24h;
+constexpr Duration MaxReceivedAge = 24h;
 
 /// Part of the records that is dropped at once when there are too many.
-constexpr std::size_t DroppedPart = 4;
+constexpr std::size_t EvictionDivisor = 4;
 
 void logRelease(std::string_view fingerprint, std::string_view cause)
 {
@@ -91,69 +91,69 @@
         return std::nullopt;
     Entry &entry = found->second;
     const TimePoint now = m_options.clock.now();
-    const bool runsSame = std::any_of(software.begin(), software.end(), [&](const std::string &it) {
-        return entry.record.hasSoftware(it);
-    });
-    if (runsSame || software.empty())
+    const bool runsSuspectSoftware =
+            std::any_of(software.begin(), software.end(),
+                        [&](const std::string &it) { return entry.record.hasSoftware(it); });
+    if (runsSuspectSoftware || software.empty())
         entry.softwareGoneAt.reset();
     else if (!entry.softwareGoneAt)
         entry.softwareGoneAt = now;
     if (now < settledAt(entry))
         return std::nullopt;
-    if (now < triableAt(entry) || now < entry.triedUntil)
+    if (now < trialAllowedAt(entry) || now < entry.trialEndsAt)
         return describe(fingerprint, entry);
-    entry.triedUntil = now + TrialTime;
+    entry.trialEndsAt = now + TrialTimeout;
     Log::info("quarantine_trial", {{"fingerprint", fingerprint}});
     return std::nullopt;
 }
 
 TimePoint RequestQuarantine::settledAt(const Entry &entry) const
 {
-    const bool hasOthers = m_options.routers() > 1;
-    return std::min(entry.heldAt, entry.record.newest())
-            + (hasOthers ? SettleTime : Duration::zero());
+    const bool hasPeers = m_options.routers() > 1;
+    return std::min(entry.heldAt, entry.record.lastEventAt())
+            + (hasPeers ? SettleTime : Duration::zero());
 }
 
-TimePoint RequestQuarantine::triableAt(const Entry &entry) const
+TimePoint RequestQuarantine::trialAllowedAt(const Entry &entry) const
 {
-    const TimePoint byTime = entry.record.newest() + holdTime(entry) + turnDelay(entry);
+    const TimePoint byTime = entry.record.lastEventAt() + holdTime(entry) + trialDelay(entry);
     if (!entry.softwareGoneAt)
         return byTime;
-    return std::min(byTime, *entry.softwareGoneAt + turnDelay(entry));
+    return std::min(byTime, *entry.softwareGoneAt + trialDelay(entry));
 }
 
-Duration RequestQuarantine::turnDelay(const Entry &entry) const
+Duration RequestQuarantine::trialDelay(const Entry &entry) const
 {
-    const Duration all = std::min<Duration>(HoldTime, TrialSpacing * m_options.routers());
-    return scaled(all, entry.turn);
+    const Duration all = std::min<Duration>(MinHoldTime, TrialSpacing * m_options.routers());
+    return scaled(all, entry.trialPosition);
 }
 
 Duration RequestQuarantine::holdTime(const Entry &entry)
 {
-    Duration out = HoldTime;
-    for (int n = entry.moments; n > MinMoments && out < MaxHoldTime; --n)
+    Duration out = MinHoldTime;
+    for (int n = entry.incidents; n > MinIncidents && out < MaxHoldTime; --n)
         out *= 2;
     return std::min(out, MaxHoldTime);
 }
 
 Duration RequestQuarantine::lifetime(const Entry &entry)
 {
-    if (entry.record.ends().empty())
-        return ClearedLife;
-    return entry.isHeld ? 2 * holdTime(entry) : SuspicionLife;
+    if (entry.record.replicaCrashes().empty())
+        return ClearedLifetime;
+    return entry.isHeld ? 2 * holdTime(entry) : SuspicionLifetime;
 }
 
-void RequestQuarantine::replicaEnded(const std::string &fingerprint, const std::string &replica,
-                                     const std::string &software)
+void RequestQuarantine::replicaCrashed(const std::string &fingerprint, const std::string &replica,
+                                       const std::string &software)
 {
-    Entry &entry = entryOf(fingerprint);
+    Entry &entry = findOrInsert(fingerprint);
     if (!entry.record.add({.replica = replica, .software = software, .at = m_options.clock.now()}))
         return;
-    entry.triedUntil = TimePoint::min();
+    entry.trialEndsAt = TimePoint::min();
     update(entry);
-    spread(entry, true);
-    if (m_options.hasNews)
-        m_options.hasNews();
+    scheduleAnnouncement(entry, true);
+    if (m_options.announceNow)
+        m_options.announceNow();
 }
 
 void RequestQuarantine::completed(const std::string &fingerprint)
@@ -163,25 +163,25 @@
         return;
     Entry &entry = found->second;
     const TimePoint now = m_options.clock.now();
-    const bool wasSuspect = !entry.record.ends().empty();
-    if (!wasSuspect && now - entry.record.clearedAt() < ClearedStep)
+    const bool wasSuspect = !entry.record.replicaCrashes().empty();
+    if (!wasSuspect && now - entry.record.clearedAt() < ClearedResolution)
         return;
     if (!entry.record.clear(now))
         return;
-    entry.triedUntil = TimePoint::min();
+    entry.trialEndsAt = TimePoint::min();
     update(entry);
-    spread(entry, true);
-    if (wasSuspect && m_options.hasNews)
-        m_options.hasNews();
+    scheduleAnnouncement(entry, true);
+    if (wasSuspect && m_options.announceNow)
+        m_options.announceNow();
 }
 
-void RequestQuarantine::spread(Entry &entry, bool isOwn)
+void RequestQuarantine::scheduleAnnouncement(Entry &entry, bool isOwn)
 {
-    entry.concernsAll = entry.concernsAll || entry.moments > 1;
-    if (entry.concernsAll)
-        entry.toTell = Tellings;
+    entry.announceToAll = entry.announceToAll || entry.incidents > 1;
+    if (entry.announceToAll)
+        entry.remainingSends = SendsToAll;
     else if (isOwn)
-        entry.toTell = KeeperTellings;
+        entry.remainingSends = SendsToHolders;
 }
 
 int RequestQuarantine::suspicion(const std::string &fingerprint) const
@@ -190,38 +190,39 @@
     if (found == m_records.end())
         return 0;
     const Entry &entry = found->second;
-    return entry.isHeld ? entry.moments : entry.unexplained;
+    return entry.isHeld ? entry.incidents : entry.unexplainedIncidents;
 }
 
-void RequestQuarantine::noteFirstEnds(const CrashRecord &record)
+void RequestQuarantine::updateCrashTimes(const CrashRecord &record)
 {
-    for (const ReplicaEnd &it : record.ends()) {
-        const auto known = m_firstEnds.emplace(it.replica, it.at).first;
+    for (const ReplicaCrash &it : record.replicaCrashes()) {
+        const auto known = m_crashTimes.emplace(it.replica, it.at).first;
         known->second = std::min(known->second, it.at);
     }
 }
 
 /// What broke later was sent to a replica that had ended, behind a proxy that still listens.
-bool RequestQuarantine::wasRunning(const ReplicaEnd &end) const
+bool RequestQuarantine::wasRunning(const ReplicaCrash &end) const
 {
-    const auto first = m_firstEnds.find(end.replica);
-    return first == m_firstEnds.end() || end.at - first->second <= EndSpread;
+    const auto first = m_crashTimes.find(end.replica);
+    return first == m_crashTimes.end() || end.at - first->second <= CrashDetectionSpread;
 }
 
-void RequestQuarantine::count(Entry &entry) const
+void RequestQuarantine::countIncidents(Entry &entry) const
 {
-    entry.moments = entry.record.moments([this](const ReplicaEnd &end) { return wasRunning(end); });
-    entry.unexplained = entry.record.moments([this](const ReplicaEnd &end) {
+    entry.incidents =
+            entry.record.incidents([this](const ReplicaCrash &end) { return wasRunning(end); });
+    entry.unexplainedIncidents = entry.record.incidents([this](const ReplicaCrash &end) {
         return wasRunning(end) && !m_explained.contains(end.replica);
     });
 }
 
 void RequestQuarantine::update(Entry &entry)
 {
-    noteFirstEnds(entry.record);
-    count(entry);
+    updateCrashTimes(entry.record);
+    countIncidents(entry);
     // Others are only concerned by a request that is, or was, held back.
-    if (entry.isHeld || entry.moments >= MinMoments)
+    if (entry.isHeld || entry.incidents >= MinIncidents)
         decide();
 }
 
@@ -229,41 +230,42 @@
 {
     std::vector<Records::value_type *> suspects;
     for (Records::value_type &it : m_records) {
-        if (it.second.isHeld || it.second.moments >= MinMoments)
+        if (it.second.isHeld || it.second.incidents >= MinIncidents)
             suspects.push_back(&it);
     }
     std::sort(suspects.begin(), suspects.end(), [](const auto *a, const auto *b) {
-        return std::tuple(-a->second.moments, a->first) < std::tuple(-b->second.moments, b->first);
+        return std::tuple(-a->second.incidents, a->first)
+                < std::tuple(-b->second.incidents, b->first);
     });
     m_explained.clear();
     for (Records::value_type *it : suspects) {
         Entry &entry = it->second;
-        count(entry);
-        const bool held = entry.unexplained >= MinMoments && !isUndecided(entry, suspects);
+        countIncidents(entry);
+        const bool held = entry.unexplainedIncidents >= MinIncidents && !isTied(entry, suspects);
         if (held != entry.isHeld)
             setHeld(it->first, entry, held);
-        for (const ReplicaEnd &end : entry.record.ends()) {
+        for (const ReplicaCrash &end : entry.record.replicaCrashes()) {
             if (held)
                 m_explained.insert(end.replica);
         }
     }
     for (auto &[fingerprint, entry] : m_records)
-        count(entry);
+        countIncidents(entry);
 }
 
 /// \returns whether another request has as many of the same ends, so that the next one has to tell.
 /// If both go on to share them, the order of decide() does.
-bool RequestQuarantine::isUndecided(const Entry &entry,
-                                    std::span<Records::value_type *const> suspects) const
+bool RequestQuarantine::isTied(const Entry &entry,
+                               std::span<Records::value_type *const> suspects) const
 {
-    if (entry.moments > MinMoments)
+    if (entry.incidents > MinIncidents)
         return false;
-    const auto shares = [&](const ReplicaEnd &end) { return entry.record.has(end.replica); };
+    const auto shares = [&](const ReplicaCrash &end) { return entry.record.has(end.replica); };
     return std::any_of(suspects.begin(), suspects.end(), [&](const Records::value_type *it) {
         const Entry &other = it->second;
-        const std::span<const ReplicaEnd> ends = other.record.ends();
-        return &other != &entry && other.moments >= entry.moments
-                && std::any_of(ends.begin(), ends.end(), shares);
+        const std::span<const ReplicaCrash> replicaCrashes = other.record.replicaCrashes();
+        return &other != &entry && other.incidents >= entry.incidents
+                && std::any_of(replicaCrashes.begin(), replicaCrashes.end(), shares);
     });
 }
 
@@ -272,7 +274,7 @@
     entry.isHeld = held;
     entry.softwareGoneAt.reset();
     if (held) {
-        entry.turn = uniform(m_options.random);
+        entry.trialPosition = uniform(m_options.random);
         entry.heldAt = m_options.clock.now();
     }
     const Hold hold = describe(fingerprint, entry);
@@ -284,31 +286,32 @@
                       {"for_ms", hold.remaining / 1ms}});
     else
         logRelease(fingerprint,
-                   entry.record.ends().empty() ? "a run completed"
-                                               : "another request explains the ends");
+                   entry.record.replicaCrashes().empty() ? "a run completed"
+                                                         : "another request explains the ends");
 }
 
-RequestQuarantine::Entry &RequestQuarantine::entryOf(const std::string &fingerprint)
+RequestQuarantine::Entry &RequestQuarantine::findOrInsert(const std::string &fingerprint)
 {
     const auto found = m_records.find(fingerprint);
     if (found != m_records.end())
         return found->second;
     if (m_records.size() >= m_options.maxRecords)
-        makeRoom();
+        evictRecords();
     return m_records[fingerprint];
 }
 
-void RequestQuarantine::makeRoom()
+void RequestQuarantine::evictRecords()
 {
     std::vector<Records::iterator> all;
     all.reserve(m_records.size());
     for (auto it = m_records.begin(); it != m_records.end(); ++it)
         all.push_back(it);
-    const std::size_t n = std::max<std::size_t>(1, all.size() / DroppedPart);
+    const std::size_t n = std::max<std::size_t>(1, all.size() / EvictionDivisor);
     const auto isWeaker = [](const Records::iterator &a, const Records::iterator &b) {
         const Entry &x = a->second;
         const Entry &y = b->second;
-        return std::pair(x.moments, x.record.newest()) < std::pair(y.moments, y.record.newest());
+        return std::pair(x.incidents, x.record.lastEventAt())
+                < std::pair(y.incidents, y.record.lastEventAt());
     };
     std::nth_element(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(n - 1), all.end(),
                      isWeaker);
@@ -317,117 +320,121 @@
     Log::warning("quarantine_records_dropped", {{"records", n}});
 }
 
-void RequestQuarantine::forgetOld()
+void RequestQuarantine::removeExpired()
 {
     const TimePoint now = m_options.clock.now();
-    const std::size_t forgotten = std::erase_if(m_records, [&](const auto &it) {
-        const bool isOld = now - it.second.record.newest() > lifetime(it.second);
-        if (isOld && it.second.isHeld)
+    const std::size_t removed = std::erase_if(m_records, [&](const auto &it) {
+        const bool isExpired = now - it.second.record.lastEventAt() > lifetime(it.second);
+        if (isExpired && it.second.isHeld)
             logRelease(it.first, "nobody has sent it for long");
-        return isOld;
+        return isExpired;
     });
-    if (forgotten == 0)
+    if (removed == 0)
         return;
-    m_firstEnds.clear();
+    m_crashTimes.clear();
     for (const auto &[fingerprint, entry] : m_records)
-        noteFirstEnds(entry.record);
+        updateCrashTimes(entry.record);
     decide();
 }
 
-void RequestQuarantine::merge(std::span<const CrashNews> news)
+void RequestQuarantine::merge(std::span<const CrashUpdate> updates)
 {
-    for (const CrashNews &it : news) {
-        const CrashRecord told = recordOf(it, m_options.clock.now());
-        if (told.newest() == TimePoint::min())
+    for (const CrashUpdate &it : updates) {
+        const CrashRecord received = toRecord(it, m_options.clock.now());
+        if (received.lastEventAt() == TimePoint::min())
             continue;
-        Entry &entry = entryOf(it.fingerprint);
-        if (entry.record.merge(told)) {
+        Entry &entry = findOrInsert(it.fingerprint);
+        if (entry.record.merge(received)) {
             update(entry);
-            spread(entry, false);
-        } else if (!told.ends().empty() && told.clearedAt() < entry.record.clearedAt()) {
-            entry.toTell = std::max(entry.toTell, 1); // The sender lacks that it was cleared.
+            scheduleAnnouncement(entry, false);
+        } else if (!received.replicaCrashes().empty()
+                   && received.clearedAt() < entry.record.clearedAt()) {
+            entry.remainingSends =
+                    std::max(entry.remainingSends, 1); // The sender lacks that it was cleared.
         }
     }
 }
 
-CrashRecord RequestQuarantine::recordOf(const CrashNews &news, TimePoint now)
+CrashRecord RequestQuarantine::toRecord(const CrashUpdate &updates, TimePoint now)
 {
     CrashRecord out;
-    if (news.clearedAge && *news.clearedAge <= MaxToldAge)
-        out.clear(now - *news.clearedAge);
-    for (const CrashNews::End &it : news.ends) {
-        if (it.age <= MaxToldAge)
+    if (updates.clearedAge && *updates.clearedAge <= MaxReceivedAge)
+        out.clear(now - *updates.clearedAge);
+    for (const CrashUpdate::Crash &it : updates.replicaCrashes) {
+        if (it.age <= MaxReceivedAge)
             out.add({.replica = it.replica, .software = it.software, .at = now - it.age});
     }
     return out;
 }
 
-void RequestQuarantine::repeatOne(TimePoint now)
+void RequestQuarantine::reannounceOne(TimePoint now)
 {
-    if (m_repeatedAt != TimePoint::min() && now - m_repeatedAt < RepeatInterval)
+    if (m_reannouncedAt != TimePoint::min() && now - m_reannouncedAt < ReannounceInterval)
         return;
     Entry *next = nullptr;
     for (auto &[fingerprint, entry] : m_records) {
-        if (entry.isHeld && entry.toTell == 0 && (!next || entry.toldAt < next->toldAt))
+        if (entry.isHeld && entry.remainingSends == 0
+            && (!next || entry.lastSentAt < next->lastSentAt))
             next = &entry;
     }
     if (!next)
         return;
-    next->toTell = 1;
-    m_repeatedAt = now;
+    next->remainingSends = 1;
+    m_reannouncedAt = now;
 }
 
-std::vector<CrashNews> RequestQuarantine::takeNews()
+std::vector<CrashUpdate> RequestQuarantine::takeUpdates()
 {
-    forgetOld();
+    removeExpired();
     const TimePoint now = m_options.clock.now();
-    repeatOne(now);
+    reannounceOne(now);
     std::vector<Records::value_type *> due;
     for (Records::value_type &it : m_records) {
-        if (it.second.concernsAll && it.second.toTell > 0)
+        if (it.second.announceToAll && it.second.remainingSends > 0)
             due.push_back(&it);
     }
     std::sort(due.begin(), due.end(), [](const auto *a, const auto *b) {
         const Entry &x = a->second;
         const Entry &y = b->second;
-        return std::tuple(-x.moments, -x.toTell, x.toldAt)
-                < std::tuple(-y.moments, -y.toTell, y.toldAt);
+        return std::tuple(-x.incidents, -x.remainingSends, x.lastSentAt)
+                < std::tuple(-y.incidents, -y.remainingSends, y.lastSentAt);
     });
-    std::vector<CrashNews> out;
-    std::size_t ends = 0;
+    std::vector<CrashUpdate> out;
+    std::size_t replicaCrashes = 0;
     for (Records::value_type *it : due) {
-        ends += it->second.record.ends().size();
-        if (out.size() == MaxToldRecords || (!out.empty() && ends > MaxToldEnds))
+        replicaCrashes += it->second.record.replicaCrashes().size();
+        if (out.size() == MaxRecordsPerMessage
+            || (!out.empty() && replicaCrashes > MaxCrashesPerMessage))
             break;
-        out.push_back(newsOf(it->first, it->second));
-        --it->second.toTell;
-        it->second.toldAt = now;
+        out.push_back(makeUpdate(it->first, it->second));
+        --it->second.remainingSends;
+        it->second.lastSentAt = now;
     }
     return out;
 }
 
-std::vector<CrashNews> RequestQuarantine::takeFirstEnds()
+std::vector<CrashUpdate> RequestQuarantine::takeFirstCrashes()
 {
-    std::vector<CrashNews> out;
+    std::vector<CrashUpdate> out;
     for (auto &[fingerprint, entry] : m_records) {
-        if (out.size() == MaxToldFirstEnds)
+        if (out.size() == MaxFirstCrashes)
             break;
-        if (entry.concernsAll || entry.toTell == 0)
+        if (entry.announceToAll || entry.remainingSends == 0)
             continue;
-        --entry.toTell;
-        out.push_back(newsOf(fingerprint, entry));
+        --entry.remainingSends;
+        out.push_back(makeUpdate(fingerprint, entry));
     }
     return out;
 }
 
-CrashNews RequestQuarantine::newsOf(const std::string &fingerprint, const Entry &entry) const
+CrashUpdate RequestQuarantine::makeUpdate(const std::string &fingerprint, const Entry &entry) const
 {
     const TimePoint now = m_options.clock.now();
-    CrashNews out{.fingerprint = fingerprint};
+    CrashUpdate out{.fingerprint = fingerprint};
     if (entry.record.clearedAt() != TimePoint::min())
         out.clearedAge = ageAt(now, entry.record.clearedAt());
-    for (const ReplicaEnd &it : entry.record.ends())
-        out.ends.push_back(
+    for (const ReplicaCrash &it : entry.record.replicaCrashes())
+        out.replicaCrashes.push_back(
                 {.replica = it.replica, .software = it.software, .age = ageAt(now, it.at)});
     return out;
 }
@@ -437,12 +444,12 @@
 {
     Hold out{.fingerprint = fingerprint};
     std::set<std::string> software;
-    for (const ReplicaEnd &it : entry.record.ends()) {
+    for (const ReplicaCrash &it : entry.record.replicaCrashes()) {
         out.replicas.push_back(it.replica);
         software.insert(it.software);
     }
     out.software.assign(software.begin(), software.end());
-    const TimePoint until = std::max(triableAt(entry), entry.triedUntil);
+    const TimePoint until = std::max(trialAllowedAt(entry), entry.trialEndsAt);
     out.remaining = ageAt(until, m_options.clock.now());
     return out;
 }
--- a/src/Decide/RequestQuarantine.h
+++ b/src/Decide/RequestQuarantine.h
@@ -18,9 +18,9 @@
 
 /// \brief What one router tells the others of a request that may end replicas. Times are ages,
 /// since clocks of routers differ.
-struct CrashNews
+struct CrashUpdate
 {
-    struct End
+    struct Crash
     {
         std::string replica = {}; ///< Its incarnation.
         std::string software = {}; ///< \sa ReplicaRecord::software
@@ -29,7 +29,7 @@
 
     std::string fingerprint = {}; ///< Of the request.
     std::optional<Duration> clearedAge = {}; ///< Since a run of it completed last.
-    std::vector<End> ends = {};
+    std::vector<Crash> replicaCrashes = {};
 };
 
 /// \brief Holds back requests that end the replicas that run them, whichever router they come to.
@@ -54,10 +54,10 @@
 public:
     /// Moments at which replicas ended under a request before it is held back. Two happen to an
     /// innocent request that was sent again after the first.
-    static constexpr int MinMoments = 3;
+    static constexpr int MinIncidents = 3;
 
     /// How long a request is held back after the last end, at first. Doubles with each further end.
-    static constexpr Duration HoldTime = std::chrono::minutes(10);
+    static constexpr Duration MinHoldTime = std::chrono::minutes(10);
 
     struct Options
     {
@@ -66,7 +66,7 @@
         /// Routers that may each try the request once its time is over; they take turns.
         std::function<int()> routers = [] { return 1; };
         /// The other routers should hear the news at once.
-        std::function<void()> hasNews = {};
+        std::function<void()> announceNow = {};
         std::size_t maxRecords = 4096; ///< Requests that are remembered.
     };
 
@@ -98,8 +98,8 @@
                               std::span<const std::string> software);
 
     /// \brief Notes that a replica ended while it worked on request \a fingerprint.
-    void replicaEnded(const std::string &fingerprint, const std::string &replica,
-                      const std::string &software);
+    void replicaCrashed(const std::string &fingerprint, const std::string &replica,
+                        const std::string &software);
 
     /// \brief Notes that a run of request \a fingerprint completed.
     void completed(const std::string &fingerprint);
@@ -109,14 +109,14 @@
     int suspicion(const std::string &fingerprint) const;
 
     /// \brief Takes over what another router told.
-    void merge(std::span<const CrashNews> news);
+    void merge(std::span<const CrashUpdate> updates);
 
     /// \returns what the next message to other routers has to tell all of them.
-    std::vector<CrashNews> takeNews();
+    std::vector<CrashUpdate> takeUpdates();
 
     /// \returns what is to be told to the keepers of the evidence of each request. Nobody else
     /// needs to hear that one replica ended under it.
-    std::vector<CrashNews> takeFirstEnds();
+    std::vector<CrashUpdate> takeFirstCrashes();
 
     /// \returns all requests that are held back.
     std::vector<Hold> held() const;
@@ -128,46 +128,47 @@
     struct Entry
     {
         CrashRecord record = {};
-        int moments = 0; ///< At which replicas ended under it.
-        int unexplained = 0; ///< Of these, without those that a request held back explains.
+        int incidents = 0; ///< At which replicas ended under it.
+        int unexplainedIncidents =
+                0; ///< Of these, without those that a request held back explains.
         bool isHeld = false;
         TimePoint heldAt = {}; ///< Since when.
-        bool concernsAll = false; ///< Replicas ended under it at two moments or more.
-        int toTell = 0; ///< Messages that still have to carry it.
-        TimePoint toldAt = {};
-        double turn = 0; ///< Of this router among those that try it again, from 0 to 1.
+        bool announceToAll = false; ///< Replicas ended under it at two moments or more.
+        int remainingSends = 0; ///< Messages that still have to carry it.
+        TimePoint lastSentAt = {};
+        double trialPosition = 0; ///< Of this router among those that try it again, from 0 to 1.
         std::optional<TimePoint> softwareGoneAt = {}; ///< No replica runs what it ended.
-        TimePoint triedUntil = TimePoint::min(); ///< A trial is in progress here.
+        TimePoint trialEndsAt = TimePoint::min(); ///< A trial is in progress here.
     };
     using Records = std::unordered_map<std::string, Entry>;
 
-    void spread(Entry &entry, bool isOwn);
-    void repeatOne(TimePoint now);
-    void noteFirstEnds(const CrashRecord &record);
-    bool wasRunning(const ReplicaEnd &end) const;
-    void count(Entry &entry) const;
+    void scheduleAnnouncement(Entry &entry, bool isOwn);
+    void reannounceOne(TimePoint now);
+    void updateCrashTimes(const CrashRecord &record);
+    bool wasRunning(const ReplicaCrash &end) const;
+    void countIncidents(Entry &entry) const;
     void update(Entry &entry);
     void decide();
-    bool isUndecided(const Entry &entry, std::span<Records::value_type *const> suspects) const;
+    bool isTied(const Entry &entry, std::span<Records::value_type *const> suspects) const;
     void setHeld(const std::string &fingerprint, Entry &entry, bool held);
-    Entry &entryOf(const std::string &fingerprint);
-    void makeRoom();
-    void forgetOld();
+    Entry &findOrInsert(const std::string &fingerprint);
+    void evictRecords();
+    void removeExpired();
     Hold describe(const std::string &fingerprint, const Entry &entry) const;
     TimePoint settledAt(const Entry &entry) const;
-    TimePoint triableAt(const Entry &entry) const;
-    Duration turnDelay(const Entry &entry) const;
+    TimePoint trialAllowedAt(const Entry &entry) const;
+    Duration trialDelay(const Entry &entry) const;
     static Duration holdTime(const Entry &entry);
     static Duration lifetime(const Entry &entry);
-    CrashNews newsOf(const std::string &fingerprint, const Entry &entry) const;
-    static CrashRecord recordOf(const CrashNews &news, TimePoint now);
+    CrashUpdate makeUpdate(const std::string &fingerprint, const Entry &entry) const;
+    static CrashRecord toRecord(const CrashUpdate &updates, TimePoint now);
 
     Options m_options;
     Records m_records; ///< By fingerprint.
     std::set<std::string, std::less<>> m_explained; ///< Replicas that held requests have ended.
     /// When each replica ended, by its incarnation, as the first router saw it.
-    std::unordered_map<std::string, TimePoint> m_firstEnds;
-    TimePoint m_repeatedAt = TimePoint::min(); ///< What all know was told again.
+    std::unordered_map<std::string, TimePoint> m_crashTimes;
+    TimePoint m_reannouncedAt = TimePoint::min(); ///< What all know was told again.
 };
 
 } // namespace catkinloft
--- a/src/Decide/RetryBudget.h
+++ b/src/Decide/RetryBudget.h
@@ -15,7 +15,7 @@
     /// \brief Takes over `rules.retry_share`.
     void setShare(double share) { m_share = share; }
 
-    void recordFirstAttempt() { m_tokens = std::min(m_tokens + m_share, Reserve); }
+    void recordFirstAttempt() { m_tokens = std::min(m_tokens + m_share, MaxTokens); }
 
     /// \returns whether one retry is allowed, and counts it.
     bool tryRetry()
@@ -31,10 +31,10 @@
 private:
     // Enough for the requests in progress on one crashed engine of a quiet pool; more would allow a
     // burst of retries after a long quiet time.
-    static constexpr double Reserve = 32;
+    static constexpr double MaxTokens = 32;
 
     double m_share = 0.1;
-    double m_tokens = Reserve;
+    double m_tokens = MaxTokens;
 };
 
 } // namespace catkinloft
--- a/src/Net/ClaimPump.cpp
+++ b/src/Net/ClaimPump.cpp
@@ -24,7 +24,8 @@
     schedule();
     options.metrics.addCollector([this](Metrics &it) {
         it.set("catkinloft_claim_transactions", static_cast<double>(m_keeper.transactions()));
-        it.set("catkinloft_claim_outcomes_unrecorded", static_cast<double>(m_keeper.unrecorded()));
+        it.set("catkinloft_claim_outcomes_unrecorded",
+               static_cast<double>(m_keeper.unrecordedOutcomes()));
         it.set("catkinloft_claims_swept", static_cast<double>(m_sweeper.removed()));
     });
 }
--- a/src/Net/ClaimPump.h
+++ b/src/Net/ClaimPump.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Net/Timer.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 #include "Request/ClaimSweeper.h"
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 class EventLoop;
 
-/// \brief Drives ClaimKeeper and ClaimSweeper by the event loop.
+/// \brief Drives ClaimManager and ClaimSweeper by the event loop.
 class ClaimPump
 {
 public:
@@ -27,7 +27,7 @@
 
     explicit ClaimPump(Options options);
 
-    ClaimKeeper &keeper() { return m_keeper; }
+    ClaimManager &keeper() { return m_keeper; }
 
 private:
     void schedule();
@@ -36,7 +36,7 @@
     EventLoop &m_loop;
     bool m_started = false;
     Timer m_timer;
-    ClaimKeeper m_keeper;
+    ClaimManager m_keeper;
     ClaimSweeper m_sweeper;
 };
 
--- a/src/Net/CrashWatch.cpp
+++ b/src/Net/CrashWatch.cpp
@@ -185,7 +185,7 @@
                      {{"replica", replica},
                       {"address", check.waiting.front().run.address},
                       {"requests", check.waiting.size()}});
-        options.replicaEnded(replica);
+        options.replicaCrashed(replica);
         for (const Waiting &it : check.waiting)
             noteEnd(it.run, check.brokeAt);
     }
--- a/src/Net/CrashWatch.h
+++ b/src/Net/CrashWatch.h
@@ -45,7 +45,7 @@
         std::function<void(const BrokenRun &, TimePoint endedAt)> runEnded = [](const BrokenRun &,
                                                                                 TimePoint) {};
         /// Told once of each replica that has ended.
-        std::function<void(const std::string &replica)> replicaEnded = [](const std::string &) {};
+        std::function<void(const std::string &replica)> replicaCrashed = [](const std::string &) {};
     };
 
     explicit CrashWatch(Options options);
--- a/src/Net/EngineHttp.cpp
+++ b/src/Net/EngineHttp.cpp
@@ -60,7 +60,7 @@
 
 /// The object of a 200 answer, as \a convert reads it.
 template<typename T, typename Convert>
-std::function<void(Result<HttpAnswer>)> objectReceiver(EnginePort::Callback<T> done,
+std::function<void(Result<HttpAnswer>)> objectReceiver(EngineClient::Callback<T> done,
                                                        Convert convert)
 {
     return [done = std::move(done), convert](const Result<HttpAnswer> &answer) {
@@ -189,7 +189,7 @@
     fetch(std::move(call), objectReceiver<EngineState>(std::move(done), &stateOf));
 }
 
-void EngineHttp::give(std::string address, EngineOrder order, Callback<OrderAnswer> done)
+void EngineHttp::sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done)
 {
     HttpCall call = makePost(std::move(address), "/v1/orders", OrderTimeout, toJson(order));
     // A connection that has gone silent would leave the order in doubt for the whole timeout.
@@ -242,7 +242,7 @@
                            });
 }
 
-void EngineHttp::askWeights(std::string model, std::string version, Callback<void> done)
+void EngineHttp::requestWeights(std::string model, std::string version, Callback<void> done)
 {
     if (m_options.weightStore.empty()) {
         done(outcome::success());
--- a/src/Net/EngineHttp.h
+++ b/src/Net/EngineHttp.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
 
 #include <cstddef>
 #include <functional>
@@ -15,7 +15,7 @@
 
 /// \brief The engines' control interface and the weight store over HTTP; docs/INTERFACES.md has
 /// their format.
-class EngineHttp final : public EnginePort
+class EngineHttp final : public EngineClient
 {
 public:
     struct Options
@@ -34,11 +34,11 @@
     void readCacheEvents(std::string address, std::uint64_t after,
                          Callback<CacheFeed> done) override;
     void readState(std::string address, Callback<EngineState> done) override;
-    void give(std::string address, EngineOrder order, Callback<OrderAnswer> done) override;
+    void sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done) override;
     void exportKv(std::string address, std::string chat, Callback<std::string> done) override;
     void importKv(std::string address, std::string chat, std::string blob,
                   Callback<void> done) override;
-    void askWeights(std::string model, std::string version, Callback<void> done) override;
+    void requestWeights(std::string model, std::string version, Callback<void> done) override;
 
 private:
     using Receiver = std::function<void(Result<HttpAnswer>)>;
--- a/src/Net/EngineTask.cpp
+++ b/src/Net/EngineTask.cpp
@@ -1,8 +1,8 @@
 #include "Net/EngineTask.h"
 
-#include "Control/EngineKvMover.h"
 #include "Control/EngineOwners.h"
 #include "Control/EnginePoller.h"
+#include "Control/KvCacheMigrator.h"
 #include "Control/OrderController.h"
 #include "Net/EngineHttp.h"
 #include "Net/EventLoop.h"
@@ -28,19 +28,19 @@
                 .weightStore = options.weightStore,
                 .secure = options.secure,
                 .sent = [this](std::size_t n) { options.governor.countBytes(n); }}),
-          knowledge({.clock = options.loop}), owners(options.directory.self().name),
+          tracker({.clock = options.loop}), owners(options.directory.self().name),
           poller({.clock = options.loop,
                   .engines = http,
-                  .knowledge = knowledge,
+                  .tracker = tracker,
                   .mayDefer = [this] { return options.governor.allowsDeferrable(); }}),
-          mover({.engines = http, .knowledge = knowledge, .metrics = options.metrics}),
+          migrator({.engines = http, .tracker = tracker, .metrics = options.metrics}),
           orders({.clock = options.loop,
                   .random = options.random,
                   .table = options.table,
                   .engines = http,
                   .metrics = options.metrics,
                   .self = options.directory.self().name,
-                  .isFirst = [this](std::uint64_t key) { return owners.isFirst(key); },
+                  .isPrimaryFor = [this](std::uint64_t key) { return owners.isPrimaryFor(key); },
                   .mayDefer = [this] { return options.governor.allowsDeferrable(); }}),
           timer(options.loop, [this] { tick(); })
     {
@@ -58,7 +58,7 @@
         owners.setEngines(names);
         takeOwned();
         // What is known of an engine that leaves is needed before its owner may change.
-        mover.setInventory(inventory);
+        migrator.setInventory(inventory);
         orders.setInventory(inventory);
     }
 
@@ -72,7 +72,7 @@
 
     void takeOwned()
     {
-        knowledge.setOwned(owners.owned());
+        tracker.setOwned(owners.owned());
         const InventoryPtr inventory = options.config.current();
         if (!inventory)
             return;
@@ -95,16 +95,16 @@
     {
         metrics.set("catkinloft_engines_owned", static_cast<double>(owners.owned().size()));
         metrics.set("catkinloft_order_groups_held", static_cast<double>(orders.groupsHeld()));
-        metrics.set("catkinloft_cache_event_gaps", static_cast<double>(knowledge.gaps()));
-        metrics.set("catkinloft_kv_copies_waiting", static_cast<double>(mover.waiting()));
+        metrics.set("catkinloft_cache_event_gaps", static_cast<double>(tracker.gaps()));
+        metrics.set("catkinloft_kv_copies_waiting", static_cast<double>(migrator.waiting()));
     }
 
     Options options;
     EngineHttp http;
-    EngineKnowledge knowledge;
+    EngineTracker tracker;
     EngineOwners owners;
     EnginePoller poller;
-    EngineKvMover mover;
+    KvCacheMigrator migrator;
     OrderController orders;
     Timer timer;
 };
@@ -119,9 +119,9 @@
     m_d->timer.startRepeating(Tick);
 }
 
-EngineKnowledge &EngineTask::knowledge()
+EngineTracker &EngineTask::tracker()
 {
-    return m_d->knowledge;
+    return m_d->tracker;
 }
 
 } // namespace catkinloft
--- a/src/Net/EngineTask.h
+++ b/src/Net/EngineTask.h
@@ -3,8 +3,8 @@
 #include "Base/Metrics.h"
 #include "Base/Random.h"
 #include "Base/TableService.h"
-#include "Control/ConfigKeeper.h"
-#include "Control/EngineKnowledge.h"
+#include "Control/ConfigManager.h"
+#include "Control/EngineTracker.h"
 #include "Control/RouterDirectory.h"
 #include "Control/TrafficGovernor.h"
 
@@ -29,7 +29,7 @@
         HttpClient &client;
         Metrics &metrics;
         TableService &table;
-        ConfigKeeper &config;
+        ConfigManager &config;
         RouterDirectory &directory;
         TrafficGovernor &governor;
         RandomSource random;
@@ -44,7 +44,7 @@
     void start();
 
     /// \returns what is believed of the engines that this router owns.
-    EngineKnowledge &knowledge();
+    EngineTracker &tracker();
 
 private:
     struct Private;
--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -123,7 +123,7 @@
 
 void EntryCall::readRequest()
 {
-    m_request.arrivedAt = m_context.loop.now();
+    m_request.receivedAt = m_context.loop.now();
     m_request.method = m_exchange->method();
     m_request.path = m_exchange->path();
     m_request.target = m_exchange->path();
@@ -184,12 +184,12 @@
 {
     ReplicaPool::Query query{.prompt = m_request.sharedPrompt(),
                              .excluded = m_sendings.failed(),
-                             .repeatable = m_request.route->isIdempotent(),
+                             .retryable = m_request.route->isIdempotent(),
                              .regions = m_request.route->regions};
     if (m_request.workspace)
         query.workspaceRegions = m_request.workspace->regions;
     // The route bounds how many replicas may get it, not how often one does.
-    if (m_sendings.isBoundToReached(*m_request.route)) {
+    if (m_sendings.isLimitedToReached(*m_request.route)) {
         query.excluded = {};
         query.only = m_sendings.reached();
     }
@@ -281,13 +281,13 @@
     m_answer = {};
     m_body.clear();
     m_reader.reset();
-    m_order.connected();
+    m_order.beginConnection();
     m_relaying = false;
     m_heardEvent = false;
     m_attempting = true;
     ++m_attempt;
     m_stallLimit = stallLimit();
-    m_readsWholePrompt = choice.keptTokens == 0 && !choice.copyFrom;
+    m_readsWholePrompt = choice.cachedPromptTokens == 0 && !choice.copyFrom;
     m_sendings.sent(m_incarnation);
     const std::string copyFrom = choice.copyFrom ? choice.copyFrom->address : std::string();
     reportSent(choice);
@@ -303,7 +303,7 @@
     event.load = choice.load;
     event.meanLoad = choice.meanLoad;
     event.candidates = choice.candidates;
-    event.keptTokens = choice.keptTokens;
+    event.cachedPromptTokens = choice.cachedPromptTokens;
     for (const PromptPart &it : m_request.sharedPrompt())
         event.promptTokens += it.tokens;
     if (choice.copyFrom)
@@ -329,7 +329,7 @@
                  .connectTimeout = ConnectTimeout,
                  .takesUnframed = true};
     out.maxIdleAge = m_service->idle.limit(route.isIdempotent());
-    const bool another = m_sendings.mayRepeat(route);
+    const bool another = m_sendings.mayRetry(route);
     if (another && route.kind == CallKind::Idempotent)
         out.progressTimeout = route.timeout / SilenceParts;
     else if (another && route.isIdempotent())
@@ -343,7 +343,7 @@
 {
     if (!m_context.settings.mechanisms.promptPace)
         return Duration::zero();
-    return m_service->pace.allowance(m_request.facts.promptTokens);
+    return m_service->pace.timeoutFor(m_request.facts.promptTokens);
 }
 
 Duration EntryCall::stallLimit() const
@@ -410,7 +410,7 @@
         m_context.othersLeave(m_replica.address, m_replica.id);
     if (!m_answer.pause || isAnother)
         return;
-    m_service->replicas.leaveOut(m_incarnation, *m_answer.pause);
+    m_service->replicas.excludeFor(m_incarnation, *m_answer.pause);
     m_context.metrics.count("catkinloft_replica_pauses_total");
     Log::info("replica_pauses",
               {{"request_id", id()},
@@ -421,7 +421,7 @@
 
 Duration EntryCall::comeBackAfter() const
 {
-    return std::max(RetryBase, m_service->replicas.untilReturn());
+    return std::max(RetryBase, m_service->replicas.timeUntilAvailable());
 }
 
 void EntryCall::failLater(Reason reason, std::string detail)
@@ -470,15 +470,15 @@
         return; // An event before it has ended the attempt.
     const std::optional<std::int64_t> last = m_order.last();
     switch (m_order.take(event.id)) {
-    case EventOrder::Step::Deliver:
+    case EventOrder::Disposition::Deliver:
         break;
-    case EventOrder::Step::Skip:
+    case EventOrder::Disposition::Skip:
         return;
-    case EventOrder::Step::Gap:
+    case EventOrder::Disposition::Gap:
         return failLater(Reason::UpstreamBroken,
                          fmt::format("the stream was to go on behind event {} and began with {}",
                                      *last, *event.id));
-    case EventOrder::Step::Disorder:
+    case EventOrder::Disposition::Disorder:
         return failLater(Reason::UpstreamBroken,
                          fmt::format("event {} came after a later one; the last delivered is {}",
                                      *event.id, *last));
@@ -494,7 +494,7 @@
     finish(RequestEvent::Kind::Answered, m_head.status, nullptr);
 }
 
-void EntryCall::endAttempt(bool succeeded, Reason reason, bool blameless)
+void EntryCall::endAttempt(bool succeeded, Reason reason, bool ignoredForHealth)
 {
     if (!std::exchange(m_attempting, false))
         return;
@@ -506,7 +506,7 @@
                                           .reason = reason,
                                           .untilFirstByte = m_firstByte.value_or(total),
                                           .total = total,
-                                          .blameless = blameless});
+                                          .ignoredForHealth = ignoredForHealth});
     if (ejected && m_context.replicaEjected)
         m_context.replicaEjected();
 }
@@ -553,7 +553,7 @@
 {
     const Duration rested = m_call ? m_call->rested() : Duration::zero();
     if (error.reason != Reason::UpstreamBroken || m_firstByte
-        || !m_service->idle.broke(rested, m_context.loop.now() - m_attemptBegan))
+        || !m_service->idle.reportBroken(rested, m_context.loop.now() - m_attemptBegan))
         return;
     m_context.metrics.count("catkinloft_forgotten_connections_total");
     Log::info("idle_connection_forgotten",
@@ -569,7 +569,7 @@
     const bool misdirected = m_head.status == Misdirected;
     if (m_answer.notExecuted || misdirected) {
         m_context.pools.of(m_serviceName)
-                .replicas.leaveOut(m_incarnation, misdirected ? MisdirectedPause : FullPause);
+                .replicas.excludeFor(m_incarnation, misdirected ? MisdirectedPause : FullPause);
         if (misdirected)
             m_sendings.didNotArrive(m_incarnation);
         return attemptFailed({.reason = Reason::UpstreamRefused,
@@ -585,7 +585,7 @@
     // An answer that is there is better than none.
     const bool elsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
             && m_service->replicas.usableCount() > 0;
-    if (elsewhere && mayRepeat(m_verdict)) {
+    if (elsewhere && mayRetry(m_verdict)) {
         m_context.report(describe(
                 RequestEvent::Kind::AttemptFailed,
                 {.reason = Reason::UpstreamBroken,
@@ -603,15 +603,15 @@
     finish(RequestEvent::Kind::Answered, m_head.status, nullptr);
 }
 
-bool EntryCall::mayRepeat(Verdict verdict)
+bool EntryCall::mayRetry(Verdict verdict)
 {
-    if (!m_sendings.mayRepeat(*m_request.route) || remaining() < MinRepeatTime
+    if (!m_sendings.mayRetry(*m_request.route) || remaining() < MinRepeatTime
         || m_endedReplicas >= MaxEndedReplicas || (m_endedReplicas > 0 && suspicion() > 1))
         return false;
     // A service that holds calls back has no room for those that it has worked on.
     if (verdict != Verdict::NotRun && !isStreaming() && m_service->shedder.isShedding())
         return false;
-    if (!m_service->repeats.tryRepeat(m_context.sharers())) {
+    if (!m_service->repeats.tryRetry(m_context.sharingRouters())) {
         m_context.metrics.count("catkinloft_repeats_denied_total");
         return false;
     }
@@ -627,16 +627,16 @@
     const bool unreached =
             error.reason == Reason::UpstreamUnreachable && error.verdict == Verdict::NotRun;
     if (unreached) {
-        m_service->replicas.leaveOut(m_incarnation, UnreachablePause);
-        m_service->replicas.noteAway(m_incarnation);
+        m_service->replicas.excludeFor(m_incarnation, UnreachablePause);
+        m_service->replicas.noteUnreachable(m_incarnation);
         m_context.client.dropIdle(m_replica.address);
         if (m_sendings.wasUnreachable(m_incarnation))
             return attempt();
     }
     // What the caller lacks can't be sent any more once it has a later event.
     const bool safe = (error.verdict == Verdict::NotRun || m_request.route->isIdempotent())
-            && !m_order.isBroken();
-    if (!unreached && safe && mayRepeat(error.verdict))
+            && !m_order.hasLostEvent();
+    if (!unreached && safe && mayRetry(error.verdict))
         return attempt();
     if (m_endedReplicas > 0) {
         if (const std::optional<Error> held = quarantineError())
@@ -714,7 +714,7 @@
     RequestEvent out{.kind = kind,
                      .requestId = id(),
                      .service = m_serviceName,
-                     .elapsed = now - m_request.arrivedAt,
+                     .elapsed = now - m_request.receivedAt,
                      .attempt = m_sendings.count(),
                      .replica = m_replica.id,
                      .address = m_replica.address};
--- a/src/Net/EntryCall.h
+++ b/src/Net/EntryCall.h
@@ -11,9 +11,9 @@
 #include "Net/ServicePools.h"
 #include "Net/Timer.h"
 #include "Net/WireCodec.h"
+#include "Request/AttemptHistory.h"
 #include "Request/EntryFilters.h"
 #include "Request/EventOrder.h"
-#include "Request/Sendings.h"
 #include "Request/SseReader.h"
 
 #include <functional>
@@ -39,7 +39,7 @@
     RequestQuarantine &quarantine;
     CrashWatch &crashes;
     RandomSource random;
-    std::function<int()> sharers; ///< Routers that share the repeat budget.
+    std::function<int()> sharingRouters; ///< Routers that share the repeat budget.
     std::function<bool()> refusesNew; ///< The process is about to stop.
     /// Told of each prompt that is sent to a replica, which keeps it from then on.
     std::function<void(const std::string &replica, std::span<const PromptPart>)> promptSent = {};
@@ -109,9 +109,9 @@
     void checkReplicaEnd(const Error &error);
     void replicaEndChecked(const Error &error, bool ended);
     /// \param verdict of the sending that failed.
-    bool mayRepeat(Verdict verdict);
-    /// \param blameless \sa AttemptReport::blameless
-    void endAttempt(bool succeeded, Reason reason, bool blameless = false);
+    bool mayRetry(Verdict verdict);
+    /// \param ignoredForHealth \sa AttemptReport::ignoredForHealth
+    void endAttempt(bool succeeded, Reason reason, bool ignoredForHealth = false);
 
     void deadlineExpired();
     void callerGone();
@@ -145,7 +145,7 @@
     Duration m_stallLimit = Duration::zero(); ///< Silence after which its stream has stalled.
     bool m_heardEvent = false; ///< Of this attempt's stream.
     bool m_readsWholePrompt = false; ///< Nothing of the prompt is known to be kept there.
-    Sendings m_sendings;
+    AttemptHistory m_sendings;
     int m_endedReplicas = 0; ///< Under attempts of this request.
     std::string m_fingerprint; ///< Empty until it is needed.
     Verdict m_verdict = Verdict::NotRun; ///< Over all ended attempts.
--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -1,10 +1,10 @@
 #include "Net/EntryProcess.h"
 
 #include "Base/Log.h"
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 #include "Control/EvacuatedDomains.h"
 #include "Control/FleetRegistration.h"
-#include "Control/PromptSurvey.h"
+#include "Control/PromptDiscovery.h"
 #include "Control/ReplicaRegistry.h"
 #include "Control/StoreReadPlan.h"
 #include "Net/EntryGateway.h"
@@ -86,11 +86,11 @@
     void keepRegistered();
     void applyConfig(const RouteConfigPtr &config);
     void applySettings(const EntrySettings &next);
-    ReplicaNews ownNews() const;
+    ReplicaStatusUpdate ownStatusUpdate() const;
     void tellNews();
     void notePrompts(const PromptsByReplica &prompts);
-    void takeBeat(const RouterBeat &beat);
-    void takeUnverifiedBeat(const RouterBeat &beat);
+    void takeBeat(const RouterHeartbeat &heartbeat);
+    void takeUnverifiedBeat(const RouterHeartbeat &heartbeat);
     int knownRouters();
     void registrationEnded(bool answered);
     void storeAnswered(TimePoint at);
@@ -111,7 +111,7 @@
     RandomSource random = systemRandom();
     std::unique_ptr<FleetStore> store;
     std::unique_ptr<TableService> table;
-    ConfigInForce config{loop};
+    ActiveConfig config{loop};
     EvacuatedDomains evacuated;
     ReplicaRegistry replicas;
     std::shared_ptr<const RouteTable> routes;
@@ -129,7 +129,7 @@
     SettingsWatch settingsWatch;
     std::vector<std::unique_ptr<HttpServer>> servers;
     HttpServer *callers = nullptr;
-    PromptSurvey survey;
+    PromptDiscovery survey;
     Timer surveyTimer;
     Timer registrationTimer;
     Timer drainTimer;
@@ -141,9 +141,9 @@
 EntryProcess::Private::Private(const EntrySettings &s, std::string settingsFile, EntryAdapter a)
     : settings(s), adapter(std::move(a)), store(adapter.makeStore(client, settings.storeAddress)),
       table(adapter.makeTable(client, settings.storeAddress)),
-      replicas({.clock = loop, .returnTime = settings.replicaReturnTime}),
+      replicas({.clock = loop, .reregistrationTime = settings.replicaReturnTime}),
       pools(loop, random, settings,
-            {.routers = [this] { return fleet.view().sharers(); },
+            {.routers = [this] { return fleet.view().sharingRouters(); },
              .isColdSender =
                      [this](std::string_view replica, std::size_t n) {
                          return fleet.view().isChosenFor(replica, n);
@@ -154,15 +154,16 @@
                .requiresProof = settings.requiresKeyProof}),
       quarantine({.clock = loop,
                   .random = random,
-                  .routers = [this] { return fleet.view().sharers(); },
-                  .hasNews = [this] { fleet.tellCrashes(); }}),
+                  .routers = [this] { return fleet.view().sharingRouters(); },
+                  .announceNow = [this] { fleet.tellCrashes(); }}),
       crashes({.loop = loop,
                .metrics = metrics,
                .runEnded =
                        [this](const CrashWatch::BrokenRun &it, TimePoint) {
-                           quarantine.replicaEnded(it.fingerprint, it.replica, it.software);
+                           quarantine.replicaCrashed(it.fingerprint, it.replica, it.software);
                        },
-               .replicaEnded = [this](const std::string &it) { pools.noteEnded(it, EndedPause); }}),
+               .replicaCrashed =
+                       [this](const std::string &it) { pools.noteEnded(it, EndedPause); }}),
       fleet({.loop = loop,
              .client = client,
              .metrics = metrics,
@@ -172,12 +173,12 @@
              .replicas = replicas,
              .isReady = [this] { return isReady(); },
              .storeFailing = [this] { return watch.isFailing(); },
-             .storeSilence = [this] { return watch.silence(); },
-             .ownNews = [this] { return ownNews(); },
-             .takeCrashNews = [this] { return quarantine.takeNews(); },
-             .takeFirstEnds = [this] { return quarantine.takeFirstEnds(); },
-             .onBeat = [this](const RouterBeat &it) { takeBeat(it); },
-             .onUnverifiedBeat = [this](const RouterBeat &it) { takeUnverifiedBeat(it); },
+             .storeUnansweredFor = [this] { return watch.unansweredFor(); },
+             .ownStatusUpdate = [this] { return ownStatusUpdate(); },
+             .takeCrashNews = [this] { return quarantine.takeUpdates(); },
+             .takeFirstCrashes = [this] { return quarantine.takeFirstCrashes(); },
+             .onBeat = [this](const RouterHeartbeat &it) { takeBeat(it); },
+             .onUnverifiedBeat = [this](const RouterHeartbeat &it) { takeUnverifiedBeat(it); },
              .onConfigText = [this](const std::string &text,
                                     TimePoint began) { watch.takeConfigText(text, began); },
              .prompts = [this] { return pools.prompts(MaxToldPrompts); },
@@ -224,7 +225,7 @@
                .quarantine = quarantine,
                .crashes = crashes,
                .random = random,
-               .sharers = [this] { return fleet.view().sharers(); },
+               .sharingRouters = [this] { return fleet.view().sharingRouters(); },
                .refusesNew = [this] { return loop.now() >= refuseFrom; },
                .promptSent =
                        [this](const std::string &replica, std::span<const PromptPart> prompt) {
@@ -233,18 +234,18 @@
                        },
                .replicaLeaves =
                        [this](const std::string &it) {
-                           replicas.noteLeaving(it, ReplicaRegistry::LeavingSource::Answer);
+                           replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Answer);
                        },
                .othersLeave =
                        [this](const std::string &address, const std::string &id) {
-                           replicas.noteLeavingAt(address, id);
+                           replicas.markLeavingAt(address, id);
                        },
                .replicaEjected = [this] { fleet.tellEjected(); },
                .proofAge = [this] { return config.proofAge(); }}),
       settingsWatch({.loop = loop,
                      .file = std::move(settingsFile),
                      .onChange = [this](const EntrySettings &it) { applySettings(it); }}),
-      survey({.clock = loop, .self = settings.peerAddress, .maxTold = MaxToldPrompts}),
+      survey({.clock = loop, .self = settings.peerAddress, .maxAnnouncedParts = MaxToldPrompts}),
       surveyTimer(loop, [this] { learnPrompts(); }),
       registrationTimer(loop, [this] { keepRegistered(); }),
       drainTimer(loop, [this] { checkDrained(); })
@@ -285,10 +286,10 @@
                {"needs_restart", fmt::format("{}", fmt::join(adjusted.needsRestart, " "))}});
 }
 
-ReplicaNews EntryProcess::Private::ownNews() const
+ReplicaStatusUpdate EntryProcess::Private::ownStatusUpdate() const
 {
-    ReplicaNews out = pools.ownNews();
-    out.leaving = replicas.toldLeaving(LeavingTold, MaxToldLeaving);
+    ReplicaStatusUpdate out = pools.ownStatusUpdate();
+    out.leaving = replicas.recentlyLeaving(LeavingTold, MaxToldLeaving);
     return out;
 }
 
@@ -305,36 +306,36 @@
         pools.notePrompts(replica, parts);
 }
 
-void EntryProcess::Private::takeBeat(const RouterBeat &beat)
+void EntryProcess::Private::takeBeat(const RouterHeartbeat &heartbeat)
 {
-    pools.setNews(beat.name, beat.replicas, loop.now());
-    for (const std::string &it : beat.replicas.leaving)
-        replicas.noteLeaving(it, ReplicaRegistry::LeavingSource::Router);
-    quarantine.merge(beat.crashes);
-    for (const CrashNews &news : beat.crashes) {
-        for (const CrashNews::End &it : news.ends) {
+    pools.applyStatusUpdate(heartbeat.name, heartbeat.replicas, loop.now());
+    for (const std::string &it : heartbeat.replicas.leaving)
+        replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Router);
+    quarantine.merge(heartbeat.crashes);
+    for (const CrashUpdate &news : heartbeat.crashes) {
+        for (const CrashUpdate::Crash &it : news.replicaCrashes) {
             if (it.age < EndedPause)
                 pools.noteEnded(it.replica, EndedPause - it.age);
         }
     }
-    notePrompts(beat.prompts);
-    for (const std::string &it : beat.listed)
-        survey.listed(it);
-    if (beat.incarnation + static_cast<std::uint64_t>(OlderPeer / 1ms) < fleet.incarnation())
-        survey.peerKnows();
+    notePrompts(heartbeat.prompts);
+    for (const std::string &it : heartbeat.discovered)
+        survey.discovered(it);
+    if (heartbeat.incarnation + static_cast<std::uint64_t>(OlderPeer / 1ms) < fleet.incarnation())
+        survey.peerStateReceived();
 }
 
-void EntryProcess::Private::takeUnverifiedBeat(const RouterBeat &beat)
+void EntryProcess::Private::takeUnverifiedBeat(const RouterHeartbeat &heartbeat)
 {
     if (unverified.size() < MaxUnverified)
-        unverified.insert(beat.name);
-    if (beat.proofAge != Duration::max())
-        storeAnswered(loop.now() - beat.proofAge);
+        unverified.insert(heartbeat.name);
+    if (heartbeat.proofAge != Duration::max())
+        storeAnswered(loop.now() - heartbeat.proofAge);
 }
 
 int EntryProcess::Private::knownRouters()
 {
-    return std::max(fleet.view().sharers(), static_cast<int>(unverified.size()) + 1);
+    return std::max(fleet.view().sharingRouters(), static_cast<int>(unverified.size()) + 1);
 }
 
 void EntryProcess::Private::storeAnswered(TimePoint at)
@@ -356,7 +357,7 @@
                                           {{"replica", it.id}, {"detail", r.error().detail}});
                             });
     }
-    if (survey.isOver())
+    if (survey.isFinished())
         surveyTimer.stop();
 }
 
@@ -368,17 +369,17 @@
     for (const PromptPart &it : prompts)
         parts.push_back(it.id);
     const std::string incarnation = engine.incarnation();
-    survey.listed(incarnation);
+    survey.discovered(incarnation);
     pools.notePrompts(incarnation, parts);
-    const std::vector<std::uint64_t> told = survey.toTell(prompts, pools.engines().size());
-    fleet.tellListed(incarnation, told, survey.toBeTold(incarnation));
+    const std::vector<std::uint64_t> told = survey.partsToAnnounce(prompts, pools.engines().size());
+    fleet.tellListed(incarnation, told, survey.receiversFor(incarnation));
     Log::info("prompts_listed",
               {{"replica", engine.id}, {"parts", parts.size()}, {"told", told.size()}});
 }
 
 bool EntryProcess::Private::isReady() const
 {
-    return !draining && routes && filters.isProven() && replicas.age() != Duration::max();
+    return !draining && routes && filters.isProofFresh() && replicas.age() != Duration::max();
 }
 
 void EntryProcess::Private::keepRegistered()
@@ -387,8 +388,8 @@
         registrationPlan.began();
         registration.refresh();
     }
-    const Duration interval =
-            std::max<Duration>(RegistrationInterval, RegistrationPause * fleet.view().sharers());
+    const Duration interval = std::max<Duration>(RegistrationInterval,
+                                                 RegistrationPause * fleet.view().sharingRouters());
     registrationTimer.start(registration.isComplete() ? interval : RegistrationPoll);
 }
 
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -1,13 +1,13 @@
 #include "Net/FleetTask.h"
 
 #include "Base/Log.h"
-#include "Control/ConfigInForce.h"
-#include "Control/ConfigTexts.h"
+#include "Control/ActiveConfig.h"
+#include "Control/ConfigTextCache.h"
 #include "Control/EvacuatedDomains.h"
 #include "Control/PeerCatchUp.h"
 #include "Control/PeerGuard.h"
 #include "Control/PeerState.h"
-#include "Control/PromptNews.h"
+#include "Control/PromptUpdates.h"
 #include "Control/ReplicaRegistry.h"
 #include "Net/EventLoop.h"
 #include "Net/HttpClient.h"
@@ -88,35 +88,35 @@
 {
     explicit Private(Options o);
 
-    RouterBeat compose();
+    RouterHeartbeat compose();
     std::vector<std::string> readers() const;
     bool isReader(std::span<const std::string> all) const;
-    void send(const std::string &address, const RouterBeat &beat);
-    void sendTo(std::span<const std::string> addresses, const RouterBeat &beat);
-    void sendToNext(std::size_t n, const RouterBeat &beat);
-    void sendToAll(const RouterBeat &beat) { sendToNext(view.addressCount(), beat); }
+    void send(const std::string &address, const RouterHeartbeat &heartbeat);
+    void sendTo(std::span<const std::string> addresses, const RouterHeartbeat &heartbeat);
+    void sendToNext(std::size_t n, const RouterHeartbeat &heartbeat);
+    void sendToAll(const RouterHeartbeat &heartbeat) { sendToNext(view.addressCount(), heartbeat); }
     void noteUnanswered();
-    void beat();
+    void heartbeat();
     void tellCrashes();
     void tellFirstEnds();
     void ask();
     void received(std::string_view datagram);
     void receivedUnverified(const std::string &text);
-    void takeEcho(const RouterBeat &beat);
-    void noticeNews(const RouterBeat &beat);
+    void takeEcho(const RouterHeartbeat &heartbeat);
+    void noticeNews(const RouterHeartbeat &heartbeat);
     void fetchFrom(const FleetView::Peer &peer);
     void answerState(const HttpExchangePtr &exchange);
     PeerState stateSince(std::uint64_t revision, std::uint64_t replicasHash, bool withPrompts);
     void takeAnswer(const std::string &name, const Result<HttpAnswer> &answer, TimePoint asked);
     void takeState(const PeerState &state, TimePoint asked);
     void takeConfig(const PeerState &state, TimePoint asked);
-    void takeReplicas(const PeerState::Packed &packed, TimePoint readBegan);
+    void takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
     const PeerState::Packed &replicasSince(std::uint64_t hash);
     std::string signedText(const std::string &text) const { return guard.sign(text) + "\n" + text; }
 
     Options options;
     PeerGuard guard;
-    BeatCodec codec;
+    HeartbeatCodec codec;
     FleetView view;
     PeerTransport transport;
     HttpServer server;
@@ -124,14 +124,14 @@
     Timer askTimer;
     Timer crashTimer;
     PeerCatchUp catchUp;
-    ConfigTexts configTexts;
+    ConfigTextCache configTexts;
     std::map<std::uint64_t, PeerState::Packed> packedReplicas; ///< By the hash that the asker has.
     std::uint64_t packedHash = 0; ///< Of the list that they lead to.
     std::vector<Ask> asks;
     std::size_t nextReader = 0;
     std::uint64_t incarnation;
     std::uint64_t sequence = 0;
-    PromptNews prompts{options.loop};
+    PromptUpdates prompts{options.loop};
     bool hasKey = false;
     bool leaving = false;
     bool fetching = false;
@@ -143,24 +143,24 @@
       view({.clock = options.loop,
             .self = options.settings.name,
             .selfAddress = options.settings.peerAddress,
-            .configLimit = options.settings.configApplyLimit}),
+            .configApplyLimit = options.settings.configApplyLimit}),
       transport(options.loop, [this](const std::string &, std::string_view it) { received(it); }),
       server(options.loop, {.address = options.settings.peerAddress, .limits = {}},
              [this](const HttpExchangePtr &it) { answerState(it); }),
-      timer(options.loop, [this] { beat(); }), askTimer(options.loop, [this] { ask(); }),
+      timer(options.loop, [this] { heartbeat(); }), askTimer(options.loop, [this] { ask(); }),
       crashTimer(options.loop, [this] { tellCrashes(); }),
-      catchUp({.configLimit = options.settings.configApplyLimit}),
+      catchUp({.configApplyLimit = options.settings.configApplyLimit}),
       incarnation(static_cast<std::uint64_t>(options.loop.wallNow().time_since_epoch().count()))
 {
     options.config.changed().connect(
             [this](const RouteConfigPtr &it) { configTexts.add(it->revision, it->sourceText); });
     options.metrics.addCollector([this](Metrics &metrics) {
         metrics.set("catkinloft_live_routers", static_cast<double>(view.live().size() + 1));
-        metrics.set("catkinloft_sharing_routers", view.sharers());
+        metrics.set("catkinloft_sharing_routers", view.sharingRouters());
     });
 }
 
-RouterBeat FleetTask::Private::compose()
+RouterHeartbeat FleetTask::Private::compose()
 {
     const EvacuatedDomains &evacuated = options.evacuated;
     return {.name = options.settings.name,
@@ -175,12 +175,12 @@
             .revision = options.config.revision(),
             .proofAge = options.config.proofAge(),
             .storeFailing = options.storeFailing(),
-            .storeSilence = options.storeSilence(),
+            .storeUnansweredFor = options.storeUnansweredFor(),
             .replicasAge = options.replicas.age(),
             .replicasHash = options.replicas.hash(),
             .replicasVersion = options.replicas.storeVersion(),
-            .evacuated = evacuated.isWorthTelling() ? evacuated.state() : EvacuatedDomains::State(),
-            .replicas = options.ownNews()};
+            .evacuated = evacuated.shouldAnnounce() ? evacuated.state() : EvacuatedDomains::State(),
+            .replicas = options.ownStatusUpdate()};
 }
 
 std::vector<std::string> FleetTask::Private::readers() const
@@ -189,7 +189,7 @@
                          .processorShare = options.settings.processorShare,
                          .leaving = leaving,
                          .storeFailing = options.storeFailing(),
-                         .storeSilence = options.storeSilence()});
+                         .storeUnansweredFor = options.storeUnansweredFor()});
 }
 
 bool FleetTask::Private::isReader(std::span<const std::string> all) const
@@ -197,34 +197,35 @@
     return std::find(all.begin(), all.end(), options.settings.name) != all.end();
 }
 
-void FleetTask::Private::send(const std::string &address, const RouterBeat &beat)
+void FleetTask::Private::send(const std::string &address, const RouterHeartbeat &heartbeat)
 {
-    sendTo({&address, 1}, beat);
+    sendTo({&address, 1}, heartbeat);
 }
 
-void FleetTask::Private::sendTo(std::span<const std::string> addresses, const RouterBeat &beat)
+void FleetTask::Private::sendTo(std::span<const std::string> addresses,
+                                const RouterHeartbeat &heartbeat)
 {
     if (!hasKey)
         return;
-    const std::string datagram = signedText(BeatCodec::pack(beat));
+    const std::string datagram = signedText(HeartbeatCodec::pack(heartbeat));
     for (const std::string &it : addresses)
         transport.send(it, datagram);
 }
 
-void FleetTask::Private::sendToNext(std::size_t n, const RouterBeat &beat)
+void FleetTask::Private::sendToNext(std::size_t n, const RouterHeartbeat &heartbeat)
 {
-    sendTo(view.nextTargets(n), beat);
+    sendTo(view.nextTargets(n), heartbeat);
 }
 
-void FleetTask::Private::beat()
+void FleetTask::Private::heartbeat()
 {
     if (!hasKey)
         return;
-    RouterBeat out = compose();
+    RouterHeartbeat out = compose();
     out.crashes = options.takeCrashNews();
-    out.prompts = prompts.take(view.beatsInRound(),
+    out.prompts = prompts.take(view.heartbeatsPerRound(),
                                out.crashes.empty() ? MaxPromptParts : MaxPromptPartsBesideCrashes);
-    sendToNext(FleetView::BeatFanout, out);
+    sendToNext(FleetView::HeartbeatFanout, out);
     tellFirstEnds();
 }
 
@@ -232,8 +233,8 @@
 {
     if (!hasKey)
         return;
-    if (std::vector<CrashNews> news = options.takeCrashNews(); !news.empty()) {
-        RouterBeat out = compose();
+    if (std::vector<CrashUpdate> news = options.takeCrashNews(); !news.empty()) {
+        RouterHeartbeat out = compose();
         out.crashes = std::move(news);
         sendToNext(UrgentFanout, out);
     }
@@ -242,14 +243,14 @@
 
 void FleetTask::Private::tellFirstEnds()
 {
-    std::map<std::string, std::vector<CrashNews>> byKeeper;
-    for (const CrashNews &it : options.takeFirstEnds()) {
-        for (const std::string &address : view.keepersOf(it.fingerprint, EvidenceKeepers))
+    std::map<std::string, std::vector<CrashUpdate>> byKeeper;
+    for (const CrashUpdate &it : options.takeFirstCrashes()) {
+        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceKeepers))
             byKeeper[address].push_back(it);
     }
     for (const auto &[address, news] : byKeeper) {
         for (std::size_t i = 0; i < news.size(); i += MaxFirstEnds) {
-            RouterBeat out = compose();
+            RouterHeartbeat out = compose();
             const std::size_t n = std::min(MaxFirstEnds, news.size() - i);
             const auto part = std::span(news).subspan(i, n);
             out.crashes.assign(part.begin(), part.end());
@@ -277,7 +278,7 @@
         return;
     const std::string &reader = all[nextReader++ % all.size()];
     asks.push_back({.at = options.loop.now(), .reader = reader});
-    RouterBeat out = compose();
+    RouterHeartbeat out = compose();
     out.ask = asks.back().number();
     send(view.peerAddressOf(reader), out);
 }
@@ -295,59 +296,60 @@
                               Metrics::label("fault", peerFaultName(PeerFault::Forged)));
         return;
     }
-    const Result<RouterBeat> read = codec.unpack(text);
+    const Result<RouterHeartbeat> read = codec.unpack(text);
     if (!read) {
         options.metrics.count("catkinloft_peer_refused_total",
                               Metrics::label("fault", peerFaultName(PeerFault::Malformed)));
         return;
     }
-    const RouterBeat &beat = read.value();
-    if (!view.receive(beat))
+    const RouterHeartbeat &heartbeat = read.value();
+    if (!view.receive(heartbeat))
         return;
-    if (beat.ask != 0) {
-        RouterBeat answer = compose();
-        answer.echo = beat.ask;
-        send(beat.peerAddress, answer);
+    if (heartbeat.ask != 0) {
+        RouterHeartbeat answer = compose();
+        answer.echo = heartbeat.ask;
+        send(heartbeat.peerAddress, answer);
     }
     // Before the proof that stands for them too.
-    options.evacuated.accept(beat.evacuated);
-    if (beat.echo != 0)
-        takeEcho(beat);
-    noticeNews(beat);
-    options.onBeat(beat);
+    options.evacuated.accept(heartbeat.evacuated);
+    if (heartbeat.echo != 0)
+        takeEcho(heartbeat);
+    noticeNews(heartbeat);
+    options.onBeat(heartbeat);
 }
 
 void FleetTask::Private::receivedUnverified(const std::string &text)
 {
-    if (const Result<RouterBeat> read = codec.unpack(text))
+    if (const Result<RouterHeartbeat> read = codec.unpack(text))
         options.onUnverifiedBeat(read.value());
 }
 
-void FleetTask::Private::takeEcho(const RouterBeat &beat)
+void FleetTask::Private::takeEcho(const RouterHeartbeat &heartbeat)
 {
     // Only an answer proves anything: a datagram may have waited here for as long as this VM was
     // suspended, but an answer was sent after its ask.
     const auto found = std::find_if(asks.begin(), asks.end(),
-                                    [&](const Ask &it) { return it.number() == beat.echo; });
+                                    [&](const Ask &it) { return it.number() == heartbeat.echo; });
     if (found == asks.end())
         return;
     const TimePoint asked = found->at;
     asks.erase(found);
-    if (beat.proofAge != Duration::max())
-        options.config.confirm(beat.revision, asked - beat.proofAge);
-    if (beat.replicasAge != Duration::max())
-        options.replicas.confirm(beat.replicasHash, beat.replicasVersion, asked - beat.replicasAge);
+    if (heartbeat.proofAge != Duration::max())
+        options.config.confirm(heartbeat.revision, asked - heartbeat.proofAge);
+    if (heartbeat.replicasAge != Duration::max())
+        options.replicas.confirm(heartbeat.replicasHash, heartbeat.replicasVersion,
+                                 asked - heartbeat.replicasAge);
 }
 
-void FleetTask::Private::noticeNews(const RouterBeat &beat)
+void FleetTask::Private::noticeNews(const RouterHeartbeat &heartbeat)
 {
     const PeerCatchUp::Known own{.revision = options.config.revision(),
                                  .proofAge = options.config.proofAge(),
                                  .replicasHash = options.replicas.hash(),
                                  .replicasVersion = options.replicas.storeVersion()};
-    if (!catchUp.isWorthAsking(beat, own))
+    if (!catchUp.shouldFetchFrom(heartbeat, own))
         return;
-    if (const FleetView::Peer *peer = view.find(beat.name))
+    if (const FleetView::Peer *peer = view.find(heartbeat.name))
         fetchFrom(*peer);
 }
 
@@ -372,7 +374,7 @@
 PeerState FleetTask::Private::stateSince(std::uint64_t revision, std::uint64_t replicasHash,
                                          bool withPrompts)
 {
-    const ConfigInForce &config = options.config;
+    const ActiveConfig &config = options.config;
     const ReplicaRegistry &replicas = options.replicas;
     PeerState out{.revision = config.revision(),
                   .proofAge = config.proofAge(),
@@ -407,21 +409,21 @@
     if (state.configBase != 0 && state.configBase != options.config.revision())
         return;
     const Result<std::string> text =
-            ConfigTexts::textIn(state, own ? std::string_view(own->sourceText) : "");
+            ConfigTextCache::unpackText(state, own ? std::string_view(own->sourceText) : "");
     if (text)
         options.onConfigText(text.value(), asked - state.proofAge);
     else
         Log::warning("peer_state_malformed", {{"detail", text.error().detail}});
 }
 
-void FleetTask::Private::takeReplicas(const PeerState::Packed &packed, TimePoint readBegan)
+void FleetTask::Private::takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
 {
     const Result<std::string> text = packed.text();
     const Result<ReplicaUpdate> update =
             text ? ReplicaUpdate::decode(text.value()) : Result<ReplicaUpdate>(text.error());
     if (!update)
         return Log::warning("peer_replicas_malformed", {{"detail", update.error().detail}});
-    if (!options.replicas.applyUpdate(update.value(), readBegan))
+    if (!options.replicas.applyUpdate(update.value(), readStartedAt))
         Log::info("peer_replicas_unusable", {{"detail", "they change a list that is not known"}});
 }
 
@@ -438,7 +440,7 @@
     else if (state.replicasAge != Duration::max())
         options.replicas.confirm(state.replicasHash, state.replicasVersion,
                                  asked - state.replicasAge);
-    catchUp.promptsTold(!state.prompts.empty());
+    catchUp.promptsReceived(!state.prompts.empty());
     options.onPrompts(state.prompts);
 }
 
@@ -452,7 +454,7 @@
         return bound;
     if (Result<void> listening = m_d->server.listen(); !listening)
         return listening;
-    m_d->timer.startRepeating(FleetView::BeatInterval);
+    m_d->timer.startRepeating(FleetView::HeartbeatInterval);
     applySettings();
     return outcome::success();
 }
@@ -460,8 +462,8 @@
 void FleetTask::applySettings()
 {
     const Duration limit = m_d->options.settings.configApplyLimit;
-    m_d->view.setConfigLimit(limit);
-    m_d->catchUp.setConfigLimit(limit);
+    m_d->view.setConfigApplyLimit(limit);
+    m_d->catchUp.setConfigApplyLimit(limit);
     m_d->askTimer.startRepeating(scaled(limit, AskPart));
 }
 
@@ -469,7 +471,7 @@
 {
     m_d->guard.setKeys({key});
     m_d->hasKey = true;
-    m_d->beat();
+    m_d->heartbeat();
 }
 
 void FleetTask::notePrompt(const std::string &replica, std::span<const PromptPart> prompt)
@@ -510,11 +512,11 @@
 {
     do {
         const std::size_t n = std::min(parts.size(), MaxPromptParts);
-        RouterBeat out = m_d->compose();
+        RouterHeartbeat out = m_d->compose();
         out.prompts[replica].assign(parts.begin(), parts.begin() + static_cast<std::ptrdiff_t>(n));
         parts = parts.subspan(n);
         if (parts.empty())
-            out.listed.push_back(replica);
+            out.discovered.push_back(replica);
         m_d->sendTo(addresses, out);
     } while (!parts.empty());
 }
@@ -538,18 +540,19 @@
     const TimePoint asked = options.loop.now();
     std::string target = fmt::format("{}?revision={}&replicas={}&prompts={}", StatePath,
                                      options.config.revision(), options.replicas.hash(),
-                                     catchUp.wantsPrompts() ? 1 : 0);
+                                     catchUp.needsPrompts() ? 1 : 0);
     std::string signature = guard.sign(target);
-    options.client.fetch({.address = peer.beat.peerAddress,
-                          .target = std::move(target),
-                          .headers = {{SignatureHeader, std::move(signature)}},
-                          .timeout = StateTimeoutFactor * options.settings.configApplyLimit,
-                          .progressTimeout = PeerSilence,
-                          .maxBodyBytes = MaxStateBody},
-                         [this, asked, name = peer.beat.name](const Result<HttpAnswer> &answer) {
-                             fetching = false;
-                             takeAnswer(name, answer, asked);
-                         });
+    options.client.fetch(
+            {.address = peer.heartbeat.peerAddress,
+             .target = std::move(target),
+             .headers = {{SignatureHeader, std::move(signature)}},
+             .timeout = StateTimeoutFactor * options.settings.configApplyLimit,
+             .progressTimeout = PeerSilence,
+             .maxBodyBytes = MaxStateBody},
+            [this, asked, name = peer.heartbeat.name](const Result<HttpAnswer> &answer) {
+                fetching = false;
+                takeAnswer(name, answer, asked);
+            });
 }
 
 void FleetTask::Private::takeAnswer(const std::string &name, const Result<HttpAnswer> &answer,
--- a/src/Net/FleetTask.h
+++ b/src/Net/FleetTask.h
@@ -13,7 +13,7 @@
 
 namespace catkinloft {
 
-class ConfigInForce;
+class ActiveConfig;
 class EvacuatedDomains;
 class EventLoop;
 class HttpClient;
@@ -30,21 +30,23 @@
         HttpClient &client;
         Metrics &metrics;
         const EntrySettings &settings;
-        ConfigInForce &config;
+        ActiveConfig &config;
         EvacuatedDomains &evacuated;
         ReplicaRegistry &replicas;
         std::function<bool()> isReady;
-        std::function<bool()> storeFailing; ///< \sa RouterBeat::storeFailing
-        std::function<Duration()> storeSilence; ///< \sa RouterBeat::storeSilence
-        std::function<ReplicaNews()> ownNews;
-        std::function<std::vector<CrashNews>()> takeCrashNews; ///< \sa RequestQuarantine::takeNews
-        /// \sa RequestQuarantine::takeFirstEnds
-        std::function<std::vector<CrashNews>()> takeFirstEnds;
-        std::function<void(const RouterBeat &)> onBeat;
+        std::function<bool()> storeFailing; ///< \sa RouterHeartbeat::storeFailing
+        std::function<Duration()> storeUnansweredFor; ///< \sa RouterHeartbeat::storeUnansweredFor
+        std::function<ReplicaStatusUpdate()> ownStatusUpdate;
+        std::function<std::vector<CrashUpdate>()>
+                takeCrashNews; ///< \sa RequestQuarantine::takeUpdates
+        /// \sa RequestQuarantine::takeFirstCrashes
+        std::function<std::vector<CrashUpdate>()> takeFirstCrashes;
+        std::function<void(const RouterHeartbeat &)> onBeat;
         /// Told of each beat that can't be verified yet, for want of the key: a hint at most.
-        std::function<void(const RouterBeat &)> onUnverifiedBeat = [](const RouterBeat &) {};
+        std::function<void(const RouterHeartbeat &)> onUnverifiedBeat =
+                [](const RouterHeartbeat &) {};
         /// Takes the configuration that a peer read, with the moment at which the read began.
-        std::function<void(const std::string &text, TimePoint readBegan)> onConfigText;
+        std::function<void(const std::string &text, TimePoint readStartedAt)> onConfigText;
         std::function<PromptsByReplica()> prompts; ///< That replicas are believed to keep.
         std::function<void(const PromptsByReplica &)> onPrompts; ///< What a peer believes.
     };
--- a/src/Net/ForwardTask.cpp
+++ b/src/Net/ForwardTask.cpp
@@ -103,14 +103,14 @@
     m_options.claims.claim(
             {.workspace = m_request.workspace->name,
              .key = m_request.idempotencyKey,
-             .fingerprint = ClaimKeeper::fingerprint(m_request.method, target, m_request.body),
+             .fingerprint = ClaimManager::fingerprint(m_request.method, target, m_request.body),
              .deadline = m_request.deadline},
-            [self = shared_from_this()](const Result<ClaimKeeper::Grant> &it) {
+            [self = shared_from_this()](const Result<ClaimManager::Grant> &it) {
                 self->claimed(it);
             });
 }
 
-void ForwardTask::claimed(const Result<ClaimKeeper::Grant> &grant)
+void ForwardTask::claimed(const Result<ClaimManager::Grant> &grant)
 {
     if (grant && grant.value().claim)
         m_claim = grant.value().claim;
--- a/src/Net/ForwardTask.h
+++ b/src/Net/ForwardTask.h
@@ -5,7 +5,7 @@
 #include "Net/CrashWatch.h"
 #include "Net/Forwarder.h"
 #include "Net/StreamRelay.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 #include "Request/ResumeToken.h"
 #include "Request/VerdictRules.h"
 
@@ -19,7 +19,7 @@
     struct Options
     {
         const Forwarder::Options &router;
-        ClaimKeeper &claims;
+        ClaimManager &claims;
         RequestQuarantine &quarantine;
         CrashWatch &crashes;
         std::size_t &buffered; ///< Bytes held for all callers of the process.
@@ -44,7 +44,7 @@
     // Placing and claiming.
     void placed(Result<Assignment> assignment);
     void claim();
-    void claimed(const Result<ClaimKeeper::Grant> &grant);
+    void claimed(const Result<ClaimManager::Grant> &grant);
 
     // The call.
     void send();
--- a/src/Net/Forwarder.cpp
+++ b/src/Net/Forwarder.cpp
@@ -46,9 +46,9 @@
                            // An upstream is known by its address, whatever process runs there.
                            const auto ms =
                                    endedAt.time_since_epoch() / std::chrono::milliseconds(1);
-                           quarantine.replicaEnded(it.fingerprint,
-                                                   fmt::format("{}~{}", it.replica, ms),
-                                                   it.software);
+                           quarantine.replicaCrashed(it.fingerprint,
+                                                     fmt::format("{}~{}", it.replica, ms),
+                                                     it.software);
                        }}),
       claims({.loop = options.loop,
               .table = options.table,
--- a/src/Net/Gateway.cpp
+++ b/src/Net/Gateway.cpp
@@ -54,7 +54,7 @@
       pages({.clock = options.loop,
              .settings = options.settings,
              .config = options.config,
-             .spread = options.peers.spread(),
+             .propagator = options.peers.propagator(),
              .membership = options.peers.membership(),
              .directory = options.directory,
              .random = options.random,
@@ -106,7 +106,7 @@
     context->query = exchange->query();
     context->body = exchange->body();
     context->header = [it = exchange.get()](const char *name) { return it->header(name); };
-    context->arrived = options.loop.now();
+    context->receivedAt = options.loop.now();
     chain.run(context, [this, context, exchange](Result<void> result) {
         if (result)
             forwarder.forward(context, exchange);
--- a/src/Net/Gateway.h
+++ b/src/Net/Gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Control/ConfigKeeper.h"
+#include "Control/ConfigManager.h"
 #include "Control/RouterDirectory.h"
 #include "Net/Forwarder.h"
 #include "Net/HttpExchange.h"
@@ -23,7 +23,7 @@
         HttpClient &client;
         Metrics &metrics;
         const Settings &settings;
-        ConfigKeeper &config;
+        ConfigManager &config;
         PeerTask &peers;
         RouterDirectory &directory;
         TableService &table;
--- a/src/Net/OperatorPages.cpp
+++ b/src/Net/OperatorPages.cpp
@@ -2,8 +2,8 @@
 
 #include "Base/Hash.h"
 #include "Base/Log.h"
-#include "Control/ConfigKeeper.h"
-#include "Control/ConfigSpread.h"
+#include "Control/ConfigManager.h"
+#include "Control/ConfigPropagator.h"
 #include "Control/Membership.h"
 #include "Control/RouterDirectory.h"
 #include "Request/AuthenticateFilter.h"
@@ -128,7 +128,7 @@
         const bool isSelf = it.name == m_options.settings.name;
         out.routers.push_back(
                 {.view = it,
-                 .revision = isSelf ? revision() : m_options.spread.revisionOf(it.name)});
+                 .revision = isSelf ? revision() : m_options.propagator.revisionOf(it.name)});
     }
     if (const TimePoint at = m_options.config.lastConfirmed(); at != TimePoint::min())
         out.storeAge = m_options.clock.now() - at;
@@ -207,7 +207,7 @@
     }
     const std::uint64_t revision = result.value();
     const std::size_t wanted = std::min(SpreadWanted, m_options.membership.liveCount());
-    m_options.spread.awaitHolders(
+    m_options.propagator.awaitHolders(
             revision, wanted, m_options.clock.now() + SpreadWait,
             [exchange, revision, wanted](std::size_t holders) {
                 exchange->respond(
--- a/src/Net/OperatorPages.h
+++ b/src/Net/OperatorPages.h
@@ -13,8 +13,8 @@
 
 namespace catkinloft {
 
-class ConfigKeeper;
-class ConfigSpread;
+class ConfigManager;
+class ConfigPropagator;
 class Membership;
 class RouterDirectory;
 
@@ -26,8 +26,8 @@
     {
         const Clock &clock;
         const Settings &settings;
-        ConfigKeeper &config;
-        ConfigSpread &spread;
+        ConfigManager &config;
+        ConfigPropagator &propagator;
         const Membership &membership;
         RouterDirectory &directory;
         RandomSource random;
--- a/src/Net/PeerTask.cpp
+++ b/src/Net/PeerTask.cpp
@@ -54,7 +54,7 @@
     TrafficGovernor governor;
     PeerGuard guard;
     Membership membership;
-    ConfigSpread spread;
+    ConfigPropagator propagator;
     PeerTransport transport;
     HttpServer server;
     Timer timer;
@@ -73,12 +73,13 @@
                .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
                .digest = [this] { return options.config.digest(); },
                .mayDefer = [this] { return governor.allowsDeferrable(); }}),
-      spread({.clock = options.loop,
-              .config = options.config,
-              .membership = membership,
-              .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
-              .fetchLarge = [this](const std::string &from,
-                                   const ConfigDigest &) { fetchLarge(from); }}),
+      propagator(
+              {.clock = options.loop,
+               .config = options.config,
+               .membership = membership,
+               .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
+               .fetchLarge = [this](const std::string &from,
+                                    const ConfigDigest &) { fetchLarge(from); }}),
       transport(options.loop,
                 [this](const std::string &from, std::string_view it) { received(from, it); }),
       server(options.loop,
@@ -111,15 +112,15 @@
     if (isRefused(opened.fault))
         return;
     membership.receive(address, opened.message);
-    spread.receive(address, opened.message);
+    propagator.receive(address, opened.message);
     schedule();
 }
 
 void PeerTask::Private::send(const std::string &address, PeerMessage message)
 {
     std::string datagram = guard.seal(message);
-    while (datagram.size() > PeerCodec::MaxDatagram && !message.news.empty()) {
-        message.news.pop_back();
+    while (datagram.size() > PeerCodec::MaxDatagram && !message.updates.empty()) {
+        message.updates.pop_back();
         datagram = guard.seal(message);
     }
     if (datagram.size() > PeerCodec::MaxDatagram) {
@@ -151,7 +152,7 @@
                                  return;
                              const PeerGuard::Opened opened = guard.open(answer.value().body);
                              if (!isRefused(opened.fault))
-                                 spread.applyDelta(opened.message);
+                                 propagator.applyDelta(opened.message);
                              schedule();
                          });
 }
@@ -172,7 +173,7 @@
         exchange->respond(503, {}, {});
         return;
     }
-    const std::string body = guard.seal(spread.deltaSince(opened.message.digest));
+    const std::string body = guard.seal(propagator.deltaSince(opened.message.digest));
     governor.countConnection(body.size());
     exchange->respond(200, {{"Content-Type", "application/octet-stream"}}, body);
 }
@@ -180,13 +181,13 @@
 void PeerTask::Private::wake()
 {
     membership.poll();
-    spread.poll();
+    propagator.poll();
     schedule();
 }
 
 void PeerTask::Private::schedule()
 {
-    const TimePoint next = std::min(membership.nextDeadline(), spread.nextDeadline());
+    const TimePoint next = std::min(membership.nextDeadline(), propagator.nextDeadline());
     timer.start(std::max(MinSleep, next - options.loop.now()));
 }
 
@@ -225,9 +226,9 @@
     return m_d->membership;
 }
 
-ConfigSpread &PeerTask::spread()
+ConfigPropagator &PeerTask::propagator()
 {
-    return m_d->spread;
+    return m_d->propagator;
 }
 
 } // namespace catkinloft
--- a/src/Net/PeerTask.h
+++ b/src/Net/PeerTask.h
@@ -3,7 +3,7 @@
 #include "Base/Error.h"
 #include "Base/Metrics.h"
 #include "Base/Settings.h"
-#include "Control/ConfigSpread.h"
+#include "Control/ConfigPropagator.h"
 #include "Control/Membership.h"
 
 #include <memory>
@@ -25,7 +25,7 @@
         HttpClient &client;
         Metrics &metrics;
         const Settings &settings;
-        ConfigKeeper &config;
+        ConfigManager &config;
         RandomSource random;
     };
 
@@ -45,7 +45,7 @@
 
     Membership &membership();
     TrafficGovernor &governor();
-    ConfigSpread &spread();
+    ConfigPropagator &propagator();
 
 private:
     struct Private;
--- a/src/Net/RequestEvent.cpp
+++ b/src/Net/RequestEvent.cpp
@@ -60,7 +60,7 @@
                               {{"load", it.load},
                                {"mean_load", it.meanLoad},
                                {"candidates", it.candidates},
-                               {"kept_tokens", it.keptTokens},
+                               {"kept_tokens", it.cachedPromptTokens},
                                {"prompt_tokens", it.promptTokens},
                                {"copied_from", it.copiedFrom}}));
         return;
--- a/src/Net/RequestEvent.h
+++ b/src/Net/RequestEvent.h
@@ -38,7 +38,7 @@
     int load = 0; ///< Requests in progress there, as known when it was chosen.
     double meanLoad = 0; ///< Over the replicas that it was chosen from.
     int candidates = 0; ///< How many those were.
-    double keptTokens = 0; ///< Of the prompt, that the replica was believed to keep.
+    double cachedPromptTokens = 0; ///< Of the prompt, that the replica was believed to keep.
     double promptTokens = 0; ///< Of the parts that requests may share.
     std::string copiedFrom = {}; ///< Address of a replica that keeps more; empty: none.
 
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -87,7 +87,7 @@
                    .random = systemRandom(),
                    .served =
                            [this](const RequestContext &request, std::string_view engine) {
-                               engines.knowledge().noteServed(engine, request.chat, request.chatKey,
+                               engines.tracker().recordServed(engine, request.chat, request.chatKey,
                                                               request.work);
                            }}),
           server(loop,
@@ -122,7 +122,7 @@
             // A suspect gets no callers and owns nothing until it has refuted the suspicion.
             if (it.state != MemberState::Alive && it.state != MemberState::Leaving)
                 continue;
-            const bool isFresh = it.heardWithin(LoadLife, loop.now());
+            const bool isFresh = it.loadReceivedWithin(LoadLife, loop.now());
             routers.push_back({.name = it.name,
                                .callerAddress = it.callerAddress,
                                .peerAddress = it.peerAddress,
@@ -138,7 +138,7 @@
         peers.membership().setLoad(static_cast<std::uint32_t>(gateway.inProgress()));
         updateDirectory();
         const TimePoint heard =
-                std::max({started, config.lastConfirmed(), peers.membership().lastHeard()});
+                std::max({started, config.lastConfirmed(), peers.membership().lastReceivedAt()});
         const bool isolated = loop.now() - heard > IsolationLimit;
         if (isolated != directory.isIsolated())
             Log::warning(isolated ? "isolated" : "connected_again",
@@ -188,7 +188,7 @@
     std::unique_ptr<TableService> table;
     std::unique_ptr<ObjectStore> objects;
     std::unique_ptr<VmList> vms;
-    ConfigKeeper config;
+    ConfigManager config;
     PeerTask peers;
     RouterDirectory directory;
     EngineTask engines;
--- a/src/Net/ServicePools.cpp
+++ b/src/Net/ServicePools.cpp
@@ -32,7 +32,7 @@
 {
     for (const ServiceConfig &it : config.services) {
         m_services[it.name] = it;
-        of(it.name).replicas.setColdLimit(coldLimitOf(it.name));
+        of(it.name).replicas.setColdRateLimit(coldLimitOf(it.name));
     }
 }
 
@@ -54,21 +54,22 @@
 {
     for (const auto &[service, pool] : m_pools) {
         pool->repeats.setOptions(m_settings.repeatShare, m_settings.repeatSlack);
-        pool->replicas.setColdLimit(coldLimitOf(service));
+        pool->replicas.setColdRateLimit(coldLimitOf(service));
     }
 }
 
-void ServicePools::setNews(const std::string &router, const ReplicaNews &news, TimePoint heard)
+void ServicePools::applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &news,
+                                     TimePoint heard)
 {
     for (const auto &[service, pool] : m_pools)
-        pool->replicas.setNews(router, news, heard);
+        pool->replicas.applyStatusUpdate(router, news, heard);
 }
 
 void ServicePools::noteEnded(const std::string &replica, Duration pause)
 {
     for (const auto &[service, pool] : m_pools) {
-        pool->replicas.leaveOut(replica, pause);
-        pool->replicas.noteAway(replica);
+        pool->replicas.excludeFor(replica, pause);
+        pool->replicas.noteUnreachable(replica);
     }
 }
 
@@ -113,24 +114,24 @@
                                  [this](const std::string &it) { return m_settings.regionOf(it); },
                          .routers = m_fleet.routers,
                          .isColdSender = m_fleet.isColdSender}),
-                .repeats = RepeatBudget({.clock = m_clock,
-                                         .share = m_settings.repeatShare,
-                                         .slack = m_settings.repeatSlack,
-                                         .window = m_settings.repeatWindow}),
-                .idle = IdleTrust({.clock = m_clock}),
+                .repeats = FleetRetryBudget({.clock = m_clock,
+                                             .share = m_settings.repeatShare,
+                                             .slack = m_settings.repeatSlack,
+                                             .window = m_settings.repeatWindow}),
+                .idle = ConnectionReusePolicy({.clock = m_clock}),
                 .shedder = LoadShedder({.clock = m_clock, .random = m_random})});
         pool->replicas.setEvacuated(m_evacuated);
-        pool->replicas.setColdLimit(coldLimitOf(service));
+        pool->replicas.setColdRateLimit(coldLimitOf(service));
         pool->replicas.setReplicas(ofService(m_replicas, service));
     }
     return *pool;
 }
 
-ReplicaNews ServicePools::ownNews() const
+ReplicaStatusUpdate ServicePools::ownStatusUpdate() const
 {
-    ReplicaNews out;
+    ReplicaStatusUpdate out;
     for (const auto &[service, pool] : m_pools) {
-        ReplicaNews news = pool->replicas.ownNews();
+        ReplicaStatusUpdate news = pool->replicas.ownStatusUpdate();
         out.counts.merge(news.counts);
         out.ejected.insert(out.ejected.end(), news.ejected.begin(), news.ejected.end());
     }
--- a/src/Net/ServicePools.h
+++ b/src/Net/ServicePools.h
@@ -3,10 +3,10 @@
 #include "Base/EntrySettings.h"
 #include "Base/Random.h"
 #include "Base/RouteConfig.h"
-#include "Decide/IdleTrust.h"
+#include "Decide/ConnectionReusePolicy.h"
+#include "Decide/FleetRetryBudget.h"
 #include "Decide/LoadShedder.h"
-#include "Decide/PromptPace.h"
-#include "Decide/RepeatBudget.h"
+#include "Decide/PrefillTimeout.h"
 #include "Decide/ReplicaPool.h"
 
 #include <functional>
@@ -24,10 +24,10 @@
 struct ServicePool
 {
     ReplicaPool replicas;
-    RepeatBudget repeats;
-    IdleTrust idle;
+    FleetRetryBudget repeats;
+    ConnectionReusePolicy idle;
     LoadShedder shedder;
-    PromptPace pace = {};
+    PrefillTimeout pace = {};
 };
 
 /// \brief The pools of all services; one that is named once stays, so that calls may point at it.
@@ -60,10 +60,11 @@
 
     /// \brief Takes over the repeat budget and the limits of settings that have changed.
     void applySettings();
-    void setNews(const std::string &router, const ReplicaNews &news, TimePoint heard);
+    void applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &news,
+                           TimePoint heard);
 
     /// \brief Leaves \a replica out for \a pause, because it has ended; \sa
-    /// ReplicaPool::noteAway().
+    /// ReplicaPool::noteUnreachable().
     void noteEnded(const std::string &replica, Duration pause);
 
     /// \brief Takes over that another router sent parts of prompts to replicas.
@@ -78,7 +79,7 @@
     ServicePool &of(const std::string &service);
 
     /// \returns what this router has to tell of all replicas.
-    ReplicaNews ownNews() const;
+    ReplicaStatusUpdate ownStatusUpdate() const;
 
 private:
     double coldLimitOf(const std::string &service) const;
--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -110,7 +110,7 @@
         m_options.config.confirm(m_options.config.revision(), began);
     m_storeVersion = it.storeVersion;
     if (!m_options.config.config())
-        m_configPlan.foundNothing(); // Nothing has been written yet, so there is nothing to watch.
+        m_configPlan.answeredEmpty(); // Nothing has been written yet, so there is nothing to watch.
     else if (m_options.isReader())
         watchConfig();
 }
@@ -171,11 +171,11 @@
         Log::warning("store_lost", {{"reading", what}, {"detail", error->detail}});
 }
 
-void StoreWatch::takeConfigText(const std::string &text, TimePoint readBegan)
+void StoreWatch::takeConfigText(const std::string &text, TimePoint readStartedAt)
 {
     const Result<RouteConfigPtr> config = m_options.store.decodeConfig(text);
     if (config)
-        m_options.config.accept(config.value(), readBegan);
+        m_options.config.accept(config.value(), readStartedAt);
     else
         Log::warning("peer_config_malformed", {{"detail", config.error().detail}});
 }
--- a/src/Net/StoreWatch.h
+++ b/src/Net/StoreWatch.h
@@ -4,7 +4,7 @@
 #include "Base/FleetStore.h"
 #include "Base/Metrics.h"
 #include "Base/Random.h"
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 #include "Control/EvacuatedDomains.h"
 #include "Control/ReplicaRegistry.h"
 #include "Control/StoreReadPlan.h"
@@ -25,7 +25,7 @@
     {
         EventLoop &loop;
         FleetStore &store;
-        ConfigInForce &config;
+        ActiveConfig &config;
         EvacuatedDomains &evacuated;
         ReplicaRegistry &replicas;
         Metrics &metrics;
@@ -45,10 +45,10 @@
     bool isFailing() const { return m_configPlan.isFailing() || m_replicasPlan.isFailing(); }
 
     /// \returns how long a router that reads the store has got no answer; zero for others.
-    Duration silence() const { return m_configPlan.silence(); }
+    Duration unansweredFor() const { return m_configPlan.unansweredFor(); }
 
     /// \brief Takes over what a peer read.
-    void takeConfigText(const std::string &text, TimePoint readBegan);
+    void takeConfigText(const std::string &text, TimePoint readStartedAt);
 
     /// \brief Notes that the store answered another router, or another call of this one, at \a at.
     void answeredElsewhere(TimePoint at);
--- a/src/Net/StreamRelay.cpp
+++ b/src/Net/StreamRelay.cpp
@@ -49,11 +49,12 @@
         return;
     std::string out;
     const bool fits = m_reader.feed(data, [&](const SseEvent &it) {
-        const StreamCursor::Step step = m_gap ? StreamCursor::Step::Gap : m_cursor.take(it);
-        m_gap = step == StreamCursor::Step::Gap;
+        const StreamCursor::Disposition step =
+                m_gap ? StreamCursor::Disposition::Gap : m_cursor.take(it);
+        m_gap = step == StreamCursor::Disposition::Gap;
         // Heartbeats of the router behind this one; its tokens may still have to come from another.
         const bool heartbeat = it.text.starts_with(':');
-        if (step == StreamCursor::Step::Deliver && !heartbeat && !m_whole) {
+        if (step == StreamCursor::Disposition::Deliver && !heartbeat && !m_whole) {
             out += it.text;
             m_whole = it.isEnd;
         }
--- a/src/Request/Sendings.cpp
+++ b/src/Request/AttemptHistory.cpp
@@ -1,4 +1,4 @@
-#include "Request/Sendings.h"
+#include "Request/AttemptHistory.h"
 
 #include <algorithm>
 #include <iterator>
@@ -10,7 +10,7 @@
 /// Attempts of an idempotent call beyond one for each replica that its route allows. They go to
 /// replicas that already received it. If one in seven attempts fails, a third and a fourth attempt
 /// reduce the share of failed calls from 2% to 0.04%. The retry budget limits their total number.
-constexpr int MoreSendings = 2;
+constexpr int ExtraAttempts = 2;
 
 /// Maximum number of unreachable replicas after which another one is tried.
 constexpr int MaxUnreachable = 4;
@@ -22,43 +22,43 @@
 
 } // namespace
 
-void Sendings::sent(const std::string &id)
+void AttemptHistory::sent(const std::string &id)
 {
     ++m_count;
-    m_arrivals.push_back(id);
+    m_deliveries.push_back(id);
     if (!contains(m_reached, id))
         m_reached.push_back(id);
 }
 
-void Sendings::didNotArrive(const std::string &id)
+void AttemptHistory::didNotArrive(const std::string &id)
 {
-    const auto last = std::find(m_arrivals.rbegin(), m_arrivals.rend(), id);
-    if (last == m_arrivals.rend())
+    const auto last = std::find(m_deliveries.rbegin(), m_deliveries.rend(), id);
+    if (last == m_deliveries.rend())
         return;
     --m_count;
-    m_arrivals.erase(std::next(last).base());
-    if (!contains(m_arrivals, id))
+    m_deliveries.erase(std::next(last).base());
+    if (!contains(m_deliveries, id))
         std::erase(m_reached, id);
 }
 
-bool Sendings::wasUnreachable(const std::string &id)
+bool AttemptHistory::wasUnreachable(const std::string &id)
 {
     didNotArrive(id);
     return ++m_unreachable <= MaxUnreachable;
 }
 
-void Sendings::failedOn(const std::string &id)
+void AttemptHistory::failedOn(const std::string &id)
 {
     m_failed.push_back(id);
 }
 
-bool Sendings::mayRepeat(const Route &route) const
+bool AttemptHistory::mayRetry(const Route &route) const
 {
     const bool again = route.kind == CallKind::Idempotent && route.maxAttempts > 1;
-    return m_count < route.maxAttempts + (again ? MoreSendings : 0);
+    return m_count < route.maxAttempts + (again ? ExtraAttempts : 0);
 }
 
-bool Sendings::isBoundToReached(const Route &route) const
+bool AttemptHistory::isLimitedToReached(const Route &route) const
 {
     return static_cast<int>(m_reached.size()) >= route.maxAttempts;
 }
--- a/src/Request/Sendings.h
+++ b/src/Request/AttemptHistory.h
@@ -12,7 +12,7 @@
 ///
 /// A route limits how many replicas may receive a request. Attempts that are known not to have
 /// reached their replica do not count.
-class Sendings
+class AttemptHistory
 {
 public:
     /// \brief Records an attempt on replica \a id.
@@ -30,10 +30,10 @@
     void failedOn(const std::string &id);
 
     /// \returns whether \a route allows another attempt.
-    bool mayRepeat(const Route &route) const;
+    bool mayRetry(const Route &route) const;
 
     /// \returns whether the next attempt may only go to a replica that was reached before.
-    bool isBoundToReached(const Route &route) const;
+    bool isLimitedToReached(const Route &route) const;
 
     /// \returns the number of attempts that arrived or may have arrived.
     int count() const { return m_count; }
@@ -47,7 +47,7 @@
 private:
     int m_count = 0;
     int m_unreachable = 0;
-    std::vector<std::string> m_arrivals; ///< Contains a replica once for each attempt on it.
+    std::vector<std::string> m_deliveries; ///< Contains a replica once for each attempt on it.
     std::vector<std::string> m_reached;
     std::vector<std::string> m_failed;
 };
--- a/src/Request/ChatRequest.cpp
+++ b/src/Request/ChatRequest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double BytesPerToken = 4;
-constexpr double UsualOutputTokens = 128;
+constexpr double DefaultOutputTokens = 128;
 constexpr double MaxOutputTokens = 1'000'000;
 constexpr int MaxNesting = 64;
 
@@ -79,7 +79,7 @@
 
 Result<void> readLimits(const Json::Value &root, ChatRequest &out)
 {
-    out.outputTokens = UsualOutputTokens;
+    out.outputTokens = DefaultOutputTokens;
     for (const char *key : {"max_tokens", "max_completion_tokens"}) {
         const Json::Value &value = root[key];
         if (value.isNull())
--- a/src/Request/Claim.h
+++ b/src/Request/Claim.h
@@ -8,7 +8,7 @@
 
 namespace catkinloft {
 
-/// \brief The right of one attempt to execute a call. Created by ClaimKeeper.
+/// \brief The right of one attempt to execute a call. Created by ClaimManager.
 struct Claim
 {
     std::string rowKey;
