--- a/src/Request/ClaimKeeper.cpp
+++ b/src/Request/ClaimManager.cpp
@@ -1,4 +1,4 @@
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 
 #include "Base/Hash.h"
 #include "Base/Log.h"
@@ -21,7 +21,7 @@
 
 /// How long rows with an unknown outcome are retained. They stay longer because a person has to
 /// find out what happened before the key can be used again.
-constexpr auto UnsettledRetention = 30 * 24h;
+constexpr auto UnknownOutcomeRetention = 30 * 24h;
 
 /// How long free rows are retained: only until no earlier write can take effect late any more.
 constexpr auto FreeRetention = 1h;
@@ -33,13 +33,13 @@
 /// Maximum number of outcomes that are kept in memory while the store is unavailable. 1,000
 /// outcomes of 16 KB take 16 MB and cover an outage of 90 seconds at 11 calls per second and
 /// router. An outcome that does not fit is dropped, and retries of its call get outcome_unknown.
-constexpr std::size_t MaxSettlements = 1000;
+constexpr std::size_t MaxPendingOutcomes = 1000;
 
 constexpr Duration FirstBackoff = 100ms;
 constexpr Duration MaxBackoff = 5s;
 
 /// Retry-After of a call that is still in progress or whose outcome can't be read now.
-constexpr Duration ProgressRetryAfter = 1s;
+constexpr Duration InProgressRetryAfter = 1s;
 
 Error unknownOutcome(std::string detail)
 {
@@ -74,7 +74,7 @@
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(Options options)
+ClaimManager::ClaimManager(Options options)
     : m_options(std::move(options)), m_committer({.table = m_options.table,
                                                   .clock = m_options.clock,
                                                   .window = m_options.window,
@@ -82,13 +82,13 @@
                                                   .wake = [this] { wake(); }})
 { }
 
-ClaimKeeper::~ClaimKeeper()
+ClaimManager::~ClaimManager()
 {
     *m_alive = false;
 }
 
-std::string ClaimKeeper::fingerprint(std::string_view method, std::string_view target,
-                                     std::string_view body)
+std::string ClaimManager::fingerprint(std::string_view method, std::string_view target,
+                                      std::string_view body)
 {
     constexpr std::size_t Digits = 32;
     // The lengths make the concatenation unambiguous.
@@ -97,7 +97,7 @@
             .substr(0, Digits);
 }
 
-ClaimPtr ClaimKeeper::makeClaim(const Request &request) const
+ClaimPtr ClaimManager::makeClaim(const Request &request) const
 {
     // Read the clocks before the commit, since the row may exist from now on.
     const TimePoint now = m_options.clock.now();
@@ -109,10 +109,10 @@
                   .attempt = fmt::format("{:016x}{:016x}", m_options.random(), m_options.random()),
                   .sendBefore = request.deadline,
                   .until = wall + left,
-                  .expires = wall + UnsettledRetention});
+                  .expires = wall + UnknownOutcomeRetention});
 }
 
-ClaimRow ClaimKeeper::rowOf(const Claim &claim, ClaimRow::State state) const
+ClaimRow ClaimManager::rowOf(const Claim &claim, ClaimRow::State state) const
 {
     return {.state = state,
             .fingerprint = claim.fingerprint,
@@ -128,228 +128,231 @@
 
 /// Answers a retry on the router that holds the claim itself. This needs no write and works even
 /// while the store is unavailable.
-bool ClaimKeeper::answerLocally(const ClaimPtr &claim, const Decided &decided)
+bool ClaimManager::answerLocally(const ClaimPtr &claim, const ClaimCallback &callback)
 {
-    const auto it = m_settlements.find(claim->rowKey);
-    if (it != m_settlements.end()) {
+    const auto it = m_pendingOutcomes.find(claim->rowKey);
+    if (it != m_pendingOutcomes.end()) {
         const ClaimRow &row = it->second.row;
         if (row.state == ClaimRow::State::Free)
-            decided(storeDown("the claim of an earlier attempt is still being released"));
+            callback(storeDown("the claim of an earlier attempt is still being released"));
         else if (row.fingerprint != claim->fingerprint)
-            decided(keyReused());
+            callback(keyReused());
         else if (row.state == ClaimRow::State::Done)
-            decided(Grant{.claim = nullptr, .answer = row.answer});
+            callback(Grant{.claim = nullptr, .answer = row.answer});
         else
-            decided(unknownOutcome("the first attempt was sent and got no complete answer"));
+            callback(unknownOutcome("the first attempt was sent and got no complete answer"));
         return true;
     }
-    const auto running = m_running.find(claim->rowKey);
-    if (running == m_running.end())
+    const auto openClaim = m_openClaims.find(claim->rowKey);
+    if (openClaim == m_openClaims.end())
         return false;
-    if (running->second == claim->fingerprint)
-        decided(inProgress(ProgressRetryAfter));
+    if (openClaim->second == claim->fingerprint)
+        callback(inProgress(InProgressRetryAfter));
     else
-        decided(keyReused());
+        callback(keyReused());
     return true;
 }
 
-void ClaimKeeper::claim(const Request &request, Decided decided)
+void ClaimManager::claim(const Request &request, ClaimCallback callback)
 {
     const ClaimPtr claim = makeClaim(request);
-    if (answerLocally(claim, decided))
+    if (answerLocally(claim, callback))
         return;
-    const auto waiting = std::make_shared<Waiting>(Waiting{claim, std::move(decided)});
-    const TimePoint limit = m_options.clock.now() + m_options.storeTimeout;
-    m_waiting.emplace(std::min(limit, request.deadline), waiting);
-    submitClaim(waiting, 0);
+    const auto pending = std::make_shared<PendingClaim>(PendingClaim{claim, std::move(callback)});
+    const TimePoint timeoutAt = m_options.clock.now() + m_options.storeTimeout;
+    m_pendingClaims.emplace(std::min(timeoutAt, request.deadline), pending);
+    submitClaim(pending, 0);
 }
 
-void ClaimKeeper::submitClaim(const WaitingPtr &waiting, std::uint64_t expected)
+void ClaimManager::submitClaim(const PendingClaimPtr &pending, std::uint64_t expected)
 {
-    const ClaimPtr &claim = waiting->claim;
+    const ClaimPtr &claim = pending->claim;
     claim->version = expected;
-    m_running.insert_or_assign(claim->rowKey, claim->fingerprint);
+    m_openClaims.insert_or_assign(claim->rowKey, claim->fingerprint);
     m_committer.submit({.key = claim->rowKey,
                         .expected = expected,
                         .value = rowOf(*claim, ClaimRow::State::Claimed).encode()},
-                       [this, waiting](const Result<GroupCommitter::Settled> &result) {
-                           claimed(waiting, result);
+                       [this, pending](const Result<GroupCommitter::WriteResult> &result) {
+                           handleClaimWrite(pending, result);
                        });
     wake();
 }
 
-void ClaimKeeper::claimed(const WaitingPtr &waiting, const Result<GroupCommitter::Settled> &result)
+void ClaimManager::handleClaimWrite(const PendingClaimPtr &pending,
+                                    const Result<GroupCommitter::WriteResult> &result)
 {
-    const ClaimPtr &claim = waiting->claim;
+    const ClaimPtr &claim = pending->claim;
     if (!result) {
-        m_running.erase(claim->rowKey);
+        m_openClaims.erase(claim->rowKey);
         // The write may still take effect, even later. This attempt sends nothing, so `not_run` is
         // correct, and it stays correct for a retry once the claim is released.
         if (result.error().verdict != Verdict::NotRun)
             release(claim);
-        tell(waiting, storeDown(result.error().detail));
+        complete(pending, storeDown(result.error().detail));
     } else if (!result.value().committed) {
-        m_running.erase(claim->rowKey);
-        judge(waiting, result.value().current);
+        m_openClaims.erase(claim->rowKey);
+        resolveConflict(pending, result.value().current);
     } else {
         claim->version = result.value().current.version;
-        if (waiting->decided && maySend(*claim)) {
-            tell(waiting, Grant{.claim = claim});
+        if (pending->callback && maySend(*claim)) {
+            complete(pending, Grant{.claim = claim});
         } else {
             release(claim);
-            tell(waiting, storeDown("the claim was recorded after the deadline or store timeout"));
+            complete(pending,
+                     storeDown("the claim was recorded after the deadline or store timeout"));
         }
     }
 }
 
-void ClaimKeeper::tell(const WaitingPtr &waiting, Result<Grant> result)
+void ClaimManager::complete(const PendingClaimPtr &pending, Result<Grant> result)
 {
-    const auto it = std::find_if(m_waiting.begin(), m_waiting.end(),
-                                 [&](const auto &entry) { return entry.second == waiting; });
-    if (it != m_waiting.end())
-        m_waiting.erase(it);
-    if (const Decided decided = std::exchange(waiting->decided, nullptr))
-        decided(std::move(result));
+    const auto it = std::find_if(m_pendingClaims.begin(), m_pendingClaims.end(),
+                                 [&](const auto &entry) { return entry.second == pending; });
+    if (it != m_pendingClaims.end())
+        m_pendingClaims.erase(it);
+    if (const ClaimCallback callback = std::exchange(pending->callback, nullptr))
+        callback(std::move(result));
 }
 
-void ClaimKeeper::judge(const WaitingPtr &waiting, const TableRow &found)
+void ClaimManager::resolveConflict(const PendingClaimPtr &pending, const TableRow &found)
 {
     const Result<ClaimRow> row = ClaimRow::decode(found.value);
     if (!row)
-        tell(waiting, row.error());
+        complete(pending, row.error());
     else if (row.value().state == ClaimRow::State::Free)
-        submitClaim(waiting, found.version);
-    else if (row.value().fingerprint != waiting->claim->fingerprint)
-        tell(waiting, keyReused());
+        submitClaim(pending, found.version);
+    else if (row.value().fingerprint != pending->claim->fingerprint)
+        complete(pending, keyReused());
     else if (row.value().state == ClaimRow::State::Done)
-        replay(waiting, row.value());
+        replay(pending, row.value());
     else
-        judgeUnfinished(waiting, row.value());
+        refuseUnfinished(pending, row.value());
 }
 
-void ClaimKeeper::judgeUnfinished(const WaitingPtr &waiting, const ClaimRow &row)
+void ClaimManager::refuseUnfinished(const PendingClaimPtr &pending, const ClaimRow &row)
 {
     const Duration left = row.until - m_options.clock.wallNow();
     if (row.state == ClaimRow::State::Claimed && left > Duration::zero())
-        tell(waiting, inProgress(std::min(left, ProgressRetryAfter)));
+        complete(pending, inProgress(std::min(left, InProgressRetryAfter)));
     else if (row.state == ClaimRow::State::Claimed)
-        tell(waiting,
-             unknownOutcome(fmt::format("router {} claimed the call and recorded no "
-                                        "outcome before its deadline",
-                                        row.router)));
+        complete(pending,
+                 unknownOutcome(fmt::format("router {} claimed the call and recorded no "
+                                            "outcome before its deadline",
+                                            row.router)));
     else
-        tell(waiting, unknownOutcome("the first attempt was sent and got no complete answer"));
+        complete(pending, unknownOutcome("the first attempt was sent and got no complete answer"));
 }
 
-void ClaimKeeper::replay(const WaitingPtr &waiting, const ClaimRow &row)
+void ClaimManager::replay(const PendingClaimPtr &pending, const ClaimRow &row)
 {
     if (row.object.empty()) {
-        tell(waiting, Grant{.claim = nullptr, .answer = row.answer});
+        complete(pending, Grant{.claim = nullptr, .answer = row.answer});
         return;
     }
     m_options.objects.get(
             row.object,
-            [this, alive = m_alive, waiting,
+            [this, alive = m_alive, pending,
              answer = row.answer](Result<std::optional<std::string>> body) mutable {
                 if (!*alive)
                     return;
                 if (body && body.value()) {
                     answer.body = std::move(*body.value());
-                    tell(waiting, Grant{.claim = nullptr, .answer = std::move(answer)});
+                    complete(pending, Grant{.claim = nullptr, .answer = std::move(answer)});
                     return;
                 }
-                tell(waiting,
-                     Error{.reason = Reason::OutcomeUnknown,
-                           .verdict = Verdict::Ran,
-                           .detail = "the call ran, but its recorded answer can't be read",
-                           .retryAfter = ProgressRetryAfter});
+                complete(pending,
+                         Error{.reason = Reason::OutcomeUnknown,
+                               .verdict = Verdict::Ran,
+                               .detail = "the call ran, but its recorded answer can't be read",
+                               .retryAfter = InProgressRetryAfter});
             });
 }
 
-bool ClaimKeeper::maySend(const Claim &claim) const
+bool ClaimManager::maySend(const Claim &claim) const
 {
     return m_options.clock.now() < claim.sendBefore && m_options.clock.wallNow() < claim.until;
 }
 
-void ClaimKeeper::recordAnswer(const ClaimPtr &claim, RecordedAnswer answer)
+void ClaimManager::recordAnswer(const ClaimPtr &claim, RecordedAnswer answer)
 {
     ClaimRow row = rowOf(*claim, ClaimRow::State::Done);
     row.answer = std::move(answer);
-    settle(claim, std::move(row));
+    recordOutcome(claim, std::move(row));
 }
 
-void ClaimKeeper::recordUnknown(const ClaimPtr &claim)
+void ClaimManager::recordUnknown(const ClaimPtr &claim)
 {
-    settle(claim, rowOf(*claim, ClaimRow::State::Unknown));
+    recordOutcome(claim, rowOf(*claim, ClaimRow::State::Unknown));
 }
 
-void ClaimKeeper::release(const ClaimPtr &claim)
+void ClaimManager::release(const ClaimPtr &claim)
 {
-    settle(claim, rowOf(*claim, ClaimRow::State::Free));
+    recordOutcome(claim, rowOf(*claim, ClaimRow::State::Free));
 }
 
-void ClaimKeeper::settle(const ClaimPtr &claim, ClaimRow row)
+void ClaimManager::recordOutcome(const ClaimPtr &claim, ClaimRow row)
 {
-    if (m_settlements.size() >= MaxSettlements) {
-        m_running.erase(claim->rowKey);
+    if (m_pendingOutcomes.size() >= MaxPendingOutcomes) {
+        m_openClaims.erase(claim->rowKey);
         m_options.metrics.count("catkinloft_claim_outcomes_dropped_total");
         return;
     }
-    m_settlements[claim->rowKey] = {.claim = claim, .row = std::move(row), .nextTry = {}};
-    trySettlement(claim->rowKey);
+    m_pendingOutcomes[claim->rowKey] = {.claim = claim, .row = std::move(row), .nextTry = {}};
+    writeOutcome(claim->rowKey);
 }
 
-void ClaimKeeper::trySettlement(const std::string &rowKey)
+void ClaimManager::writeOutcome(const std::string &rowKey)
 {
-    Settlement &it = m_settlements.at(rowKey);
+    PendingOutcome &it = m_pendingOutcomes.at(rowKey);
     it.writing = true;
     if (it.row.answer.body.size() > MaxInlineBody && it.row.object.empty())
         storeBody(rowKey, it.row);
     else
-        writeSettlement(rowKey);
+        submitOutcome(rowKey);
 }
 
-void ClaimKeeper::storeBody(const std::string &rowKey, ClaimRow row)
+void ClaimManager::storeBody(const std::string &rowKey, ClaimRow row)
 {
     const std::string name = "claims/" + row.attempt;
     m_options.objects.put(name, std::move(row.answer.body),
                           [this, alive = m_alive, rowKey, name](const Result<void> &result) {
-                              if (!*alive || !m_settlements.contains(rowKey))
+                              if (!*alive || !m_pendingOutcomes.contains(rowKey))
                                   return;
                               if (!result) {
                                   retryLater(rowKey);
                                   return;
                               }
-                              m_settlements.at(rowKey).row.object = name;
-                              writeSettlement(rowKey);
+                              m_pendingOutcomes.at(rowKey).row.object = name;
+                              submitOutcome(rowKey);
                           });
 }
 
-void ClaimKeeper::writeSettlement(const std::string &rowKey)
+void ClaimManager::submitOutcome(const std::string &rowKey)
 {
-    const Settlement &it = m_settlements.at(rowKey);
+    const PendingOutcome &it = m_pendingOutcomes.at(rowKey);
     ClaimRow row = it.row;
     if (!row.object.empty())
         row.answer.body.clear();
     m_committer.submit({.key = rowKey, .expected = it.claim->version, .value = row.encode()},
-                       [this, rowKey](const Result<GroupCommitter::Settled> &result) {
-                           settled(rowKey, result);
+                       [this, rowKey](const Result<GroupCommitter::WriteResult> &result) {
+                           handleOutcomeWrite(rowKey, result);
                        });
     wake();
 }
 
-void ClaimKeeper::settled(const std::string &rowKey, const Result<GroupCommitter::Settled> &result)
+void ClaimManager::handleOutcomeWrite(const std::string &rowKey,
+                                      const Result<GroupCommitter::WriteResult> &result)
 {
     if (!result) {
         retryLater(rowKey);
         return;
     }
-    const Settlement &it = m_settlements.at(rowKey);
+    const PendingOutcome &it = m_pendingOutcomes.at(rowKey);
     const TableRow &current = result.value().current;
     if (!result.value().committed && holdsClaim(current, *it.claim)) {
         // The write that created the claim took effect late; its version is only known now.
         it.claim->version = current.version;
-        writeSettlement(rowKey);
+        submitOutcome(rowKey);
         return;
     }
     if (!result.value().committed && it.row.state != ClaimRow::State::Free) {
@@ -357,14 +360,14 @@
         m_options.metrics.count("catkinloft_claim_outcomes_dropped_total");
         Log::warning("claim_outcome_dropped", {{"row", rowKey}});
     }
-    forget(rowKey);
+    discard(rowKey);
 }
 
-void ClaimKeeper::retryLater(const std::string &rowKey)
+void ClaimManager::retryLater(const std::string &rowKey)
 {
-    Settlement &it = m_settlements.at(rowKey);
+    PendingOutcome &it = m_pendingOutcomes.at(rowKey);
     if (m_options.clock.wallNow() > it.claim->expires) {
-        forget(rowKey);
+        discard(rowKey);
         return;
     }
     it.writing = false;
@@ -373,51 +376,52 @@
     wake();
 }
 
-void ClaimKeeper::forget(const std::string &rowKey)
+void ClaimManager::discard(const std::string &rowKey)
 {
-    m_running.erase(rowKey);
-    m_settlements.erase(rowKey);
+    m_openClaims.erase(rowKey);
+    m_pendingOutcomes.erase(rowKey);
 }
 
-void ClaimKeeper::poll()
+void ClaimManager::poll()
 {
     const TimePoint now = m_options.clock.now();
     m_committer.poll();
-    while (!m_waiting.empty() && m_waiting.begin()->first <= now) {
-        // A write that is still in flight is released by claimed() when it ends.
-        tell(WaitingPtr(m_waiting.begin()->second), storeDown("the store did not answer in time"));
+    while (!m_pendingClaims.empty() && m_pendingClaims.begin()->first <= now) {
+        // A write that is still in flight is released by handleClaimWrite() when it ends.
+        complete(PendingClaimPtr(m_pendingClaims.begin()->second),
+                 storeDown("the store did not answer in time"));
     }
     std::vector<std::string> due;
-    for (const auto &[rowKey, it] : m_settlements) {
+    for (const auto &[rowKey, it] : m_pendingOutcomes) {
         if (!it.writing && it.nextTry <= now)
             due.push_back(rowKey);
     }
     for (const std::string &it : due)
-        trySettlement(it);
+        writeOutcome(it);
 }
 
-TimePoint ClaimKeeper::nextDeadline() const
+TimePoint ClaimManager::nextDeadline() const
 {
     TimePoint out = m_committer.nextDeadline();
-    if (!m_waiting.empty())
-        out = std::min(out, m_waiting.begin()->first);
-    for (const auto &it : m_settlements) {
+    if (!m_pendingClaims.empty())
+        out = std::min(out, m_pendingClaims.begin()->first);
+    for (const auto &it : m_pendingOutcomes) {
         if (!it.second.writing)
             out = std::min(out, it.second.nextTry);
     }
     return out;
 }
 
-Error ClaimKeeper::storeDown(std::string detail) const
+Error ClaimManager::storeDown(std::string detail) const
 {
     return {.reason = Reason::ClaimStoreDown,
             .detail = std::move(detail),
-            .retryAfter = ProgressRetryAfter,
+            .retryAfter = InProgressRetryAfter,
             .rule = "claims.before_sending",
             .figures = {{"store_timeout_seconds", toSeconds(m_options.storeTimeout)}}};
 }
 
-void ClaimKeeper::wake() const
+void ClaimManager::wake() const
 {
     if (m_options.wake)
         m_options.wake();
--- a/src/Request/ClaimKeeper.h
+++ b/src/Request/ClaimManager.h
@@ -22,7 +22,7 @@
 /// avoid this, but needs 50% more writes.
 ///
 /// \sa docs/design/requests.md for the alternatives.
-class ClaimKeeper
+class ClaimManager
 {
 public:
     struct Options
@@ -56,17 +56,17 @@
         RecordedAnswer answer = {};
     };
 
-    using Decided = std::function<void(Result<Grant>)>;
+    using ClaimCallback = std::function<void(Result<Grant>)>;
 
-    explicit ClaimKeeper(Options options);
-    ~ClaimKeeper();
+    explicit ClaimManager(Options options);
+    ~ClaimManager();
 
     /// \returns a hash of the parts that have to match for two requests to be the same call.
     static std::string fingerprint(std::string_view method, std::string_view target,
                                    std::string_view body);
 
-    /// \brief Claims \a request. Calls \a decided exactly once, either immediately or later.
-    void claim(const Request &request, Decided decided);
+    /// \brief Claims \a request. Calls \a callback exactly once, either immediately or later.
+    void claim(const Request &request, ClaimCallback callback);
 
     /// \returns whether the holder may send now. Has to be checked directly before each send: a
     /// holder that was paused past its deadline must not use a claim whose row may have been
@@ -88,18 +88,18 @@
     TimePoint nextDeadline() const;
 
     /// \returns the number of outcomes that the store has not accepted yet.
-    std::size_t unrecorded() const { return m_settlements.size(); }
+    std::size_t unrecordedOutcomes() const { return m_pendingOutcomes.size(); }
     std::uint64_t transactions() const { return m_committer.transactions(); }
 
 private:
-    struct Waiting
+    struct PendingClaim
     {
         ClaimPtr claim;
-        Decided decided; ///< Empty once it has been called.
+        ClaimCallback callback; ///< Empty once it has been called.
     };
-    using WaitingPtr = std::shared_ptr<Waiting>;
+    using PendingClaimPtr = std::shared_ptr<PendingClaim>;
 
-    struct Settlement
+    struct PendingOutcome
     {
         ClaimPtr claim;
         ClaimRow row;
@@ -110,28 +110,30 @@
 
     ClaimPtr makeClaim(const Request &request) const;
     ClaimRow rowOf(const Claim &claim, ClaimRow::State state) const;
-    bool answerLocally(const ClaimPtr &claim, const Decided &decided);
-    void submitClaim(const WaitingPtr &waiting, std::uint64_t expected);
-    void claimed(const WaitingPtr &waiting, const Result<GroupCommitter::Settled> &result);
-    void tell(const WaitingPtr &waiting, Result<Grant> result);
-    void judge(const WaitingPtr &waiting, const TableRow &found);
-    void judgeUnfinished(const WaitingPtr &waiting, const ClaimRow &row);
-    void replay(const WaitingPtr &waiting, const ClaimRow &row);
-    void settle(const ClaimPtr &claim, ClaimRow row);
-    void trySettlement(const std::string &rowKey);
+    bool answerLocally(const ClaimPtr &claim, const ClaimCallback &callback);
+    void submitClaim(const PendingClaimPtr &pending, std::uint64_t expected);
+    void handleClaimWrite(const PendingClaimPtr &pending,
+                          const Result<GroupCommitter::WriteResult> &result);
+    void complete(const PendingClaimPtr &pending, Result<Grant> result);
+    void resolveConflict(const PendingClaimPtr &pending, const TableRow &found);
+    void refuseUnfinished(const PendingClaimPtr &pending, const ClaimRow &row);
+    void replay(const PendingClaimPtr &pending, const ClaimRow &row);
+    void recordOutcome(const ClaimPtr &claim, ClaimRow row);
+    void writeOutcome(const std::string &rowKey);
     void storeBody(const std::string &rowKey, ClaimRow row);
-    void writeSettlement(const std::string &rowKey);
-    void settled(const std::string &rowKey, const Result<GroupCommitter::Settled> &result);
+    void submitOutcome(const std::string &rowKey);
+    void handleOutcomeWrite(const std::string &rowKey,
+                            const Result<GroupCommitter::WriteResult> &result);
     void retryLater(const std::string &rowKey);
-    void forget(const std::string &rowKey);
+    void discard(const std::string &rowKey);
     Error storeDown(std::string detail) const;
     void wake() const;
 
     Options m_options;
     GroupCommitter m_committer;
-    std::multimap<TimePoint, WaitingPtr> m_waiting; ///< By timeout.
-    std::map<std::string, std::string> m_running; ///< Fingerprints of open claims by row key.
-    std::map<std::string, Settlement> m_settlements; ///< By row key.
+    std::multimap<TimePoint, PendingClaimPtr> m_pendingClaims; ///< By timeout.
+    std::map<std::string, std::string> m_openClaims; ///< Fingerprints of open claims by row key.
+    std::map<std::string, PendingOutcome> m_pendingOutcomes; ///< By row key.
     /// False after destruction, checked by callbacks that may outlive this object.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/src/Request/ClaimRow.cpp
+++ b/src/Request/ClaimRow.cpp
@@ -48,7 +48,7 @@
     return out;
 }
 
-Error notAClaim()
+Error unknownFormat()
 {
     return {.reason = Reason::OutcomeUnknown,
             .verdict = Verdict::MayHaveRun,
@@ -63,7 +63,7 @@
     while (i < StateNames.size() && StateNames[i] != state)
         ++i;
     if (i == StateNames.size())
-        return notAClaim();
+        return unknownFormat();
     out.state = static_cast<ClaimRow::State>(i);
     out.fingerprint = root["fingerprint"].asString();
     out.attempt = root["attempt"].asString();
@@ -117,9 +117,9 @@
             && root.isObject())
             return rowOf(root);
     } catch (const Json::Exception &) {
-        return notAClaim();
+        return unknownFormat();
     }
-    return notAClaim();
+    return unknownFormat();
 }
 
 } // namespace catkinloft
--- a/src/Request/ClaimSweeper.cpp
+++ b/src/Request/ClaimSweeper.cpp
@@ -30,8 +30,8 @@
 {
     // Jitter between 0.5 and 1.5 times the mean keeps the routers from synchronising.
     const auto n = static_cast<double>(std::max<std::size_t>(m_options.routers(), 1));
-    const double spread = 0.5 + uniform(m_options.random);
-    m_next = m_options.clock.now() + scaled(FleetInterval, n * spread);
+    const double jitter = 0.5 + uniform(m_options.random);
+    m_next = m_options.clock.now() + scaled(FleetInterval, n * jitter);
 }
 
 void ClaimSweeper::poll()
--- a/src/Request/EntryFilters.cpp
+++ b/src/Request/EntryFilters.cpp
@@ -16,11 +16,11 @@
 
 /// Retry-After of a router without a fresh proof. In this time it tries several times to reach the
 /// store and its peers.
-constexpr Duration ProofRetry = 700ms;
+constexpr Duration ProofRetryAfter = 700ms;
 
 /// Retry-After of a router without a configuration. A process that has just started reads it within
 /// a few round trips to the store.
-constexpr Duration StartRetry = 300ms;
+constexpr Duration StartupRetryAfter = 300ms;
 
 } // namespace
 
@@ -49,14 +49,14 @@
     if (!request.routes)
         return Error{.reason = Reason::NotReady,
                      .detail = "no configuration has been read yet",
-                     .retryAfter = StartRetry};
+                     .retryAfter = StartupRetryAfter};
     request.route = request.routes->match(request.host, request.path);
     if (!request.route)
         return Error{.reason = Reason::NotFound, .detail = "no route matches this host and path"};
     return outcome::success();
 }
 
-bool EntryFilters::isProven() const
+bool EntryFilters::isProofFresh() const
 {
     return !m_options.requiresProof || m_options.proofAge() <= m_options.proofLimit - ProofMargin;
 }
@@ -65,7 +65,8 @@
 {
     if (!request.route->needsKey) {
         // The route needs no key, so a key that may have been revoked is ignored.
-        request.workspace = isProven() ? request.routes->workspaceOf(request.facts.key) : nullptr;
+        request.workspace =
+                isProofFresh() ? request.routes->workspaceOf(request.facts.key) : nullptr;
         return outcome::success();
     }
     request.workspace = request.routes->workspaceOf(request.facts.key);
@@ -79,12 +80,12 @@
 
 Result<void> EntryFilters::checkProof(const EntryRequest &request) const
 {
-    if (!request.route->needsKey || isProven())
+    if (!request.route->needsKey || isProofFresh())
         return outcome::success();
     const Duration age = m_options.proofAge();
     return Error{.reason = Reason::StoreDown,
                  .detail = "can't verify that the API key is still valid: the store is unavailable",
-                 .retryAfter = ProofRetry,
+                 .retryAfter = ProofRetryAfter,
                  .rule = "key_proof.limit",
                  .figures = {{"proof_age_ms", toSeconds(age) * 1000}}};
 }
--- a/src/Request/EntryFilters.h
+++ b/src/Request/EntryFilters.h
@@ -20,7 +20,7 @@
     {
         /// Returns the active route table, or null before the first configuration was read.
         std::function<std::shared_ptr<const RouteTable>()> routes;
-        std::function<Duration()> proofAge; ///< \sa ConfigInForce::proofAge
+        std::function<Duration()> proofAge; ///< \sa ActiveConfig::proofAge
         Duration proofLimit = std::chrono::seconds(5);
         bool requiresProof = true;
     };
@@ -39,7 +39,7 @@
 
     /// \returns whether API keys are accepted now: the freshness proof is young enough or not
     /// required.
-    bool isProven() const;
+    bool isProofFresh() const;
 
     /// \returns an error if the proof that the request's API key is still valid is too old. Has to
     /// be checked again before each attempt, because the process may have been suspended in
--- a/src/Request/EntryRequest.h
+++ b/src/Request/EntryRequest.h
@@ -20,7 +20,8 @@
 {
     std::string id = {}; ///< Id of this attempt of the caller.
     std::string key = {}; ///< API key of a workspace; empty if there is none.
-    std::optional<Duration> patience = {}; ///< How long the caller waits after it sent the request.
+    std::optional<Duration> callerTimeout =
+            {}; ///< How long the caller waits after it sent the request.
     std::optional<std::int64_t> lastEventId = {}; ///< The stream resumes after this event.
     std::vector<PromptPart> prompt = {}; ///< In order; only the last part is unique to the request.
     double promptTokens = 0;
@@ -36,7 +37,7 @@
     std::string host = {}; ///< Host header as received.
     std::vector<std::pair<std::string, std::string>> headers = {};
     CallFacts facts = {};
-    TimePoint arrivedAt = {};
+    TimePoint receivedAt = {};
     std::shared_ptr<const RouteTable> routes = {}; ///< Keeps route and workspace alive.
     const Route *route = nullptr;
     const WorkspaceConfig *workspace = nullptr; ///< May be null for a route that needs no key.
@@ -44,8 +45,10 @@
     /// \returns the earlier of the caller's and the route's timeout as a time.
     TimePoint deadline() const
     {
-        const Duration limit = route->timeout;
-        return arrivedAt + (facts.patience ? std::min(*facts.patience, limit) : limit);
+        const Duration routeTimeout = route->timeout;
+        return receivedAt
+                + (facts.callerTimeout ? std::min(*facts.callerTimeout, routeTimeout)
+                                       : routeTimeout);
     }
 
     /// \returns the parts of the prompt that other requests may share: all but the last one. A
--- a/src/Request/EventOrder.cpp
+++ b/src/Request/EventOrder.cpp
@@ -4,10 +4,10 @@
 
 namespace catkinloft {
 
-void EventOrder::connected()
+void EventOrder::beginConnection()
 {
-    m_onConnection.reset();
-    m_deliveredHere = false;
+    m_lastOnConnection.reset();
+    m_deliveredOnConnection = false;
 }
 
 bool EventOrder::continues(std::int64_t id) const
@@ -15,25 +15,25 @@
     return m_last ? id - 1 == *m_last : id <= 1; // The first event of a stream has id 0 or 1.
 }
 
-EventOrder::Step EventOrder::take(std::optional<std::int64_t> id)
+EventOrder::Disposition EventOrder::take(std::optional<std::int64_t> id)
 {
     if (!id)
-        return Step::Deliver;
-    if (m_onConnection && *id <= *m_onConnection) {
-        m_broken = m_broken || m_deliveredHere;
-        return Step::Disorder;
+        return Disposition::Deliver;
+    if (m_lastOnConnection && *id <= *m_lastOnConnection) {
+        m_hasLostEvent = m_hasLostEvent || m_deliveredOnConnection;
+        return Disposition::Disorder;
     }
-    const std::optional<std::int64_t> before = std::exchange(m_onConnection, id);
+    const std::optional<std::int64_t> before = std::exchange(m_lastOnConnection, id);
     if (m_last && *id <= *m_last)
-        return Step::Skip;
+        return Disposition::Skip;
     const bool resumed = m_delivered && before != m_last;
     if (resumed && m_consecutive && !continues(*id))
-        return Step::Gap;
+        return Disposition::Gap;
     m_consecutive = m_consecutive && continues(*id);
     m_delivered = true;
-    m_deliveredHere = true;
+    m_deliveredOnConnection = true;
     m_last = id;
-    return Step::Deliver;
+    return Disposition::Deliver;
 }
 
 } // namespace catkinloft
--- a/src/Request/EventOrder.h
+++ b/src/Request/EventOrder.h
@@ -16,7 +16,7 @@
 class EventOrder
 {
 public:
-    enum class Step {
+    enum class Disposition {
         Deliver,
         Skip, ///< The caller already has the event.
         Gap, ///< The resumed stream skipped events, so this one must not be delivered.
@@ -27,29 +27,29 @@
     explicit EventOrder(std::optional<std::int64_t> last = {}) : m_last(last) { }
 
     /// \brief Has to be called before the events of a new connection.
-    void connected();
+    void beginConnection();
 
     /// \brief Checks and records the next event.
     /// \param id id of the event; an event without one is always delivered.
     /// \returns what to do with the event.
-    Step take(std::optional<std::int64_t> id);
+    Disposition take(std::optional<std::int64_t> id);
 
     /// \returns the id of the last event that the caller has.
     std::optional<std::int64_t> last() const { return m_last; }
 
     /// \returns whether the caller got an event before an earlier one that it lacks. Such a stream
     /// can't be completed any more.
-    bool isBroken() const { return m_broken; }
+    bool hasLostEvent() const { return m_hasLostEvent; }
 
 private:
     bool continues(std::int64_t id) const;
 
     std::optional<std::int64_t> m_last;
-    std::optional<std::int64_t> m_onConnection; ///< Last id on the current connection.
+    std::optional<std::int64_t> m_lastOnConnection; ///< Last id on the current connection.
     bool m_delivered = false; ///< An event was delivered on any connection.
-    bool m_deliveredHere = false; ///< An event was delivered on the current connection.
+    bool m_deliveredOnConnection = false; ///< An event was delivered on the current connection.
     bool m_consecutive = true; ///< All ids delivered so far were consecutive.
-    bool m_broken = false;
+    bool m_hasLostEvent = false;
 };
 
 } // namespace catkinloft
--- a/src/Request/GroupCommitter.cpp
+++ b/src/Request/GroupCommitter.cpp
@@ -103,11 +103,11 @@
 void GroupCommitter::committed(const BatchPtr &batch, int round, const Result<TableCommit> &result)
 {
     if (result && !result.value().committed) {
-        sortOut(batch, result.value().current, round);
+        resolveBatch(batch, result.value().current, round);
     } else if (result) {
         for (Entry &it : *batch) {
             const TableRow *row = findRow(result.value().current, it.write.key);
-            it.done(Settled{.committed = true, .current = row ? *row : TableRow()});
+            it.done(WriteResult{.committed = true, .current = row ? *row : TableRow()});
         }
     } else if (result.error().verdict == Verdict::NotRun) {
         fail(*batch, result.error());
@@ -129,14 +129,15 @@
                 if (!*alive)
                     return;
                 if (rows)
-                    sortOut(batch, rows.value(), round);
+                    resolveBatch(batch, rows.value(), round);
                 else
                     fail(*batch, rows.error());
             });
 }
 
 /// Completes the writes whose result follows from \a rows and retries the others without them.
-void GroupCommitter::sortOut(const BatchPtr &batch, const std::vector<TableRow> &rows, int round)
+void GroupCommitter::resolveBatch(const BatchPtr &batch, const std::vector<TableRow> &rows,
+                                  int round)
 {
     auto rest = std::make_shared<Batch>();
     for (Entry &it : *batch) {
@@ -144,7 +145,7 @@
         if (!row || row->version == it.write.expected)
             rest->push_back(std::move(it));
         else
-            it.done(Settled{.committed = tookEffect(it.write, *row), .current = *row});
+            it.done(WriteResult{.committed = tookEffect(it.write, *row), .current = *row});
     }
     if (rest->empty())
         return;
--- a/src/Request/GroupCommitter.h
+++ b/src/Request/GroupCommitter.h
@@ -30,7 +30,7 @@
         std::optional<std::string> value; ///< std::nullopt removes the row.
     };
 
-    struct Settled
+    struct WriteResult
     {
         bool committed = false;
         TableRow current; ///< The row after the transaction.
@@ -38,7 +38,7 @@
 
     /// Receives the result of a write. After an error with Verdict::MayHaveRun the write may still
     /// take effect, even later.
-    using Done = std::function<void(Result<Settled>)>;
+    using Done = std::function<void(Result<WriteResult>)>;
 
     struct Options
     {
@@ -80,7 +80,7 @@
     void commit(const BatchPtr &batch, int round);
     void committed(const BatchPtr &batch, int round, const Result<TableCommit> &result);
     void readBack(const BatchPtr &batch, int round);
-    void sortOut(const BatchPtr &batch, const std::vector<TableRow> &rows, int round);
+    void resolveBatch(const BatchPtr &batch, const std::vector<TableRow> &rows, int round);
     static void fail(Batch &batch, const Error &error);
 
     Options m_options;
--- a/src/Request/IdentifyFilter.cpp
+++ b/src/Request/IdentifyFilter.cpp
@@ -45,7 +45,7 @@
 Result<void> readDeadline(RequestContext &request)
 {
     const std::string_view text = request.header(headers::Deadline);
-    request.deadline = request.arrived + request.inventory->rules.requestTimeout;
+    request.deadline = request.receivedAt + request.inventory->rules.requestTimeout;
     if (text.empty())
         return outcome::success();
     std::int64_t millis = 0;
@@ -55,7 +55,7 @@
         return malformed(fmt::format("expected '{}' as milliseconds from 1 to {}",
                                      headers::Deadline, MaxDeadlineMs));
     request.deadline =
-            std::min(request.deadline, request.arrived + std::chrono::milliseconds(millis));
+            std::min(request.deadline, request.receivedAt + std::chrono::milliseconds(millis));
     return outcome::success();
 }
 
@@ -92,7 +92,7 @@
                      .detail = "the inventory has no service of this name"};
     const auto &methods = service->idempotentMethods;
     request.idempotent = std::find(methods.begin(), methods.end(), request.method) != methods.end();
-    request.deadline = std::min(request.deadline, request.arrived + service->timeout);
+    request.deadline = std::min(request.deadline, request.receivedAt + service->timeout);
     return outcome::success();
 }
 
--- a/src/Request/RequestContext.h
+++ b/src/Request/RequestContext.h
@@ -27,7 +27,7 @@
     std::string query;
     std::string_view body; ///< Valid until the answer is complete.
     std::function<std::string_view(const char *)> header; ///< Returns an empty text if missing.
-    TimePoint arrived;
+    TimePoint receivedAt;
 
     // Set by IdentifyFilter.
     RequestKind kind = RequestKind::Chat;
--- a/src/Request/ResumeToken.cpp
+++ b/src/Request/ResumeToken.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr char FieldEnd = '\n';
-constexpr char PartEnd = '.';
+constexpr char FieldSeparator = '\n';
+constexpr char SignatureSeparator = '.';
 
 /// Prefix of the signed text. It prevents the signature of another kind of token, made with the
 /// same key, from being accepted here.
@@ -21,7 +21,7 @@
     return base64UrlEncode(hmacSha256(key.secret, std::string(Purpose) + std::string(payload)));
 }
 
-Error notValid()
+Error invalidToken()
 {
     return {.reason = Reason::MalformedRequest,
             .detail = "expected X-Catkinloft-Resume unchanged, as it was sent with the stream"};
@@ -35,16 +35,16 @@
         return {};
     std::string fields;
     for (const std::string *it : {&workspace, &requestId, &upstreamId, &engine})
-        fields += *it + FieldEnd;
+        fields += *it + FieldSeparator;
     const std::string payload = base64UrlEncode(fields);
-    return payload + PartEnd + signature(keys.front(), payload);
+    return payload + SignatureSeparator + signature(keys.front(), payload);
 }
 
 Result<ResumeToken> ResumeToken::decode(std::string_view text, std::span<const SharedKey> keys)
 {
-    const std::size_t mark = std::min(text.find(PartEnd), text.size());
-    const std::string_view payload = text.substr(0, mark);
-    const std::string_view mac = text.substr(std::min(mark + 1, text.size()));
+    const std::size_t separator = std::min(text.find(SignatureSeparator), text.size());
+    const std::string_view payload = text.substr(0, separator);
+    const std::string_view mac = text.substr(std::min(separator + 1, text.size()));
     const bool isSigned = std::any_of(keys.begin(), keys.end(), [&](const SharedKey &it) {
         return constantTimeEqual(signature(it, payload), mac);
     });
@@ -52,9 +52,9 @@
     ResumeToken out;
     std::size_t at = 0;
     for (std::string *it : {&out.workspace, &out.requestId, &out.upstreamId, &out.engine}) {
-        const std::size_t end = fields.find(FieldEnd, at);
+        const std::size_t end = fields.find(FieldSeparator, at);
         if (end == std::string::npos)
-            return notValid();
+            return invalidToken();
         *it = fields.substr(at, end - at);
         at = end + 1;
     }
--- a/src/Request/SseReader.cpp
+++ b/src/Request/SseReader.cpp
@@ -12,7 +12,7 @@
 
 /// Maximum size of an event, which bounds the memory of a stream. A token with its probabilities
 /// takes a few kilobytes.
-constexpr std::size_t MaxEvent = 256 * 1024;
+constexpr std::size_t MaxEventBytes = 256 * 1024;
 
 std::optional<std::int64_t> numberOf(std::string_view text)
 {
@@ -43,10 +43,10 @@
 {
     // Most pieces consist of whole events, which need no copy.
     std::string joined;
-    if (!m_rest.empty()) {
-        joined = std::move(m_rest);
+    if (!m_partialEvent.empty()) {
+        joined = std::move(m_partialEvent);
         joined += data;
-        m_rest.clear();
+        m_partialEvent.clear();
         data = joined;
     }
     for (std::size_t end = data.find(EventEnd); end != std::string_view::npos;
@@ -55,8 +55,8 @@
         receive(parse(data.substr(0, n)));
         data.remove_prefix(n);
     }
-    m_rest = data;
-    return m_rest.size() <= MaxEvent;
+    m_partialEvent = data;
+    return m_partialEvent.size() <= MaxEventBytes;
 }
 
 } // namespace catkinloft
--- a/src/Request/SseReader.h
+++ b/src/Request/SseReader.h
@@ -30,13 +30,13 @@
     bool feed(std::string_view data, const Receiver &receive);
 
     /// \returns whether an incomplete event is buffered.
-    bool hasPartialEvent() const { return !m_rest.empty(); }
+    bool hasPartialEvent() const { return !m_partialEvent.empty(); }
 
     /// \brief Discards an incomplete event after the connection broke.
-    void reset() { m_rest.clear(); }
+    void reset() { m_partialEvent.clear(); }
 
 private:
-    std::string m_rest;
+    std::string m_partialEvent;
 };
 
 } // namespace catkinloft
--- a/src/Request/StreamCursor.h
+++ b/src/Request/StreamCursor.h
@@ -8,7 +8,7 @@
 class StreamCursor
 {
 public:
-    enum class Step {
+    enum class Disposition {
         Deliver,
         Skip, ///< The caller already has the event.
         Gap, ///< An event before it is missing, so this one must not be delivered.
@@ -18,16 +18,16 @@
     explicit StreamCursor(std::int64_t last = -1) : m_last(last) { }
 
     /// \returns what to do with the next event of the stream.
-    Step take(const SseEvent &event)
+    Disposition take(const SseEvent &event)
     {
         if (!event.id)
-            return Step::Deliver;
+            return Disposition::Deliver;
         if (*event.id <= m_last)
-            return Step::Skip;
+            return Disposition::Skip;
         if (*event.id != m_last + 1)
-            return Step::Gap;
+            return Disposition::Gap;
         m_last = *event.id;
-        return Step::Deliver;
+        return Disposition::Deliver;
     }
 
     std::int64_t last() const { return m_last; }
--- a/src/Request/VerdictRules.cpp
+++ b/src/Request/VerdictRules.cpp
@@ -4,16 +4,17 @@
 
 namespace {
 
-constexpr std::size_t Columns = 3;
+constexpr std::size_t RepeatabilityCount = 3;
 
 constexpr bool isComplete()
 {
     for (std::size_t i = 0; i < VerdictTable.size(); ++i) {
-        if (static_cast<std::size_t>(VerdictTable[i].path) != i / Columns
-            || static_cast<std::size_t>(VerdictTable[i].repeatability) != i % Columns)
+        if (static_cast<std::size_t>(VerdictTable[i].path) != i / RepeatabilityCount
+            || static_cast<std::size_t>(VerdictTable[i].repeatability) != i % RepeatabilityCount)
             return false;
     }
-    return VerdictTable.size() == (static_cast<std::size_t>(ErrorPath::CallerLeft) + 1) * Columns;
+    return VerdictTable.size()
+            == (static_cast<std::size_t>(ErrorPath::CallerLeft) + 1) * RepeatabilityCount;
 }
 static_assert(isComplete(), "EVERY_PATH_NEEDS_ONE_ROW_PER_REPEATABILITY_IN_ORDER");
 
@@ -21,7 +22,7 @@
 
 const VerdictRule &verdictRule(ErrorPath path, Repeatability repeatability)
 {
-    return VerdictTable[static_cast<std::size_t>(path) * Columns
+    return VerdictTable[static_cast<std::size_t>(path) * RepeatabilityCount
                         + static_cast<std::size_t>(repeatability)];
 }
 
--- a/test/ConfigInForceTest.cpp
+++ b/test/ActiveConfigTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 #include "Base/ManualClock.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct ConfigInForceFixture
+struct ActiveConfigFixture
 {
     static RouteConfigPtr revision(std::uint64_t n)
     {
@@ -18,12 +18,12 @@
     }
 
     ManualClock clock;
-    ConfigInForce config{clock};
+    ActiveConfig config{clock};
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_olderRevisionRead_neverComesBack")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_olderRevisionRead_neverComesBack")
 {
     int changes = 0;
     config.changed().connect([&](const RouteConfigPtr &) { ++changes; });
@@ -34,7 +34,7 @@
     CHECK(changes == 1);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_proof_isAsOldAsTheBeginningOfItsRead")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_proof_isAsOldAsTheBeginningOfItsRead")
 {
     CHECK(config.proofAge() == Duration::max());
     const TimePoint began = clock.now();
@@ -47,7 +47,7 @@
     CHECK(config.proofAge() == 0s);
 }
 
-TEST_CASE_FIXTURE(ConfigInForceFixture, "configInForce_confirmationOfAnotherRevision_provesNothing")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_confirmationOfAnotherRevision_provesNothing")
 {
     config.accept(revision(7), clock.now());
     clock.advance(4s);
--- a/test/ClaimInterleavingTest.cpp
+++ b/test/ClaimInterleavingTest.cpp
@@ -2,7 +2,7 @@
 #include "FakeTable.h"
 
 #include "Base/ManualClock.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 
 #include <doctest/doctest.h>
 
@@ -15,7 +15,7 @@
 namespace {
 
 /// The protocol that the routers follow. All but Correct contain a deliberate fault.
-enum class Rule {
+enum class Protocol {
     Correct,
     TakeOver, ///< A claim whose deadline has passed is removed and claimed again.
     SendUnclaimed, ///< A call is sent although the store did not record its claim.
@@ -23,15 +23,15 @@
 
 /// Two routers, up to three attempts of one caller at the same call, and a store with all kinds of
 /// faults.
-class World
+class Simulation
 {
 public:
-    World(Rule rule, bool storeChecksVersions) : m_rule(rule)
+    Simulation(Protocol protocol, bool storeChecksVersions) : m_protocol(protocol)
     {
         m_table.checksVersions = storeChecksVersions;
         for (std::size_t i = 0; i < m_routers.size(); ++i)
-            m_routers[i] = makeKeeper(i);
-        begin(0);
+            m_routers[i] = makeManager(i);
+        startAttempt(0);
     }
 
     using Event = std::function<void()>;
@@ -43,7 +43,7 @@
         for (std::size_t i = 0; i < m_attempts.size(); ++i)
             addAttemptEvents(i, out);
         if (m_attempts.size() < 3)
-            out.emplace_back([this] { begin(m_attempts.size() % 2); });
+            out.emplace_back([this] { startAttempt(m_attempts.size() % 2); });
         if (m_ticks < 2)
             out.emplace_back([this] { tick(); });
         if (m_faults > 0 && m_routers[0])
@@ -56,7 +56,7 @@
         int runs = 0;
         for (const Attempt &it : m_attempts) {
             runs += it.executed ? 1 : 0;
-            if (it.executed && it.told == Verdict::NotRun)
+            if (it.executed && it.reported == Verdict::NotRun)
                 return "a caller got not_run for an attempt that ran";
             if (it.replayed && *it.replayed != m_firstAnswer)
                 return "a retry got another answer than the first attempt";
@@ -65,22 +65,22 @@
     }
 
     /// Completes everything in flight without faults and makes one more attempt.
-    std::string settle()
+    std::string finishAll()
     {
         for (int i = 0; i < 4; ++i) {
             while (!m_table.late.empty())
                 m_table.applyLate(0);
             m_table.endAll();
             for (std::size_t n = 0; n < m_attempts.size(); ++n)
-                finishWell(n);
+                finishAttempt(n);
             tick();
         }
         m_table.endAll();
-        begin(1);
+        startAttempt(1);
         m_table.endAll();
         const Attempt &last = m_attempts.back();
         const bool explained = m_crashed || m_answerLost;
-        if (last.told && *last.told != Verdict::NotRun && !explained)
+        if (last.reported && *last.reported != Verdict::NotRun && !explained)
             return "a call without a fault that makes its outcome unknown can't be retried";
         return violation();
     }
@@ -92,22 +92,22 @@
         ClaimPtr claim = {};
         bool sent = false;
         bool executed = false;
-        std::optional<Verdict> told = {};
+        std::optional<Verdict> reported = {};
         std::optional<std::string> replayed = {};
     };
 
-    std::unique_ptr<ClaimKeeper> makeKeeper(std::size_t i)
+    std::unique_ptr<ClaimManager> makeManager(std::size_t i)
     {
-        return std::make_unique<ClaimKeeper>(ClaimKeeper::Options{.table = m_table,
-                                                                  .objects = m_objects,
-                                                                  .clock = m_clock,
-                                                                  .metrics = m_metrics,
-                                                                  .random = seededRandom(i + 1),
-                                                                  .router = i == 0 ? "a" : "b",
-                                                                  .window = Duration::zero()});
+        return std::make_unique<ClaimManager>(ClaimManager::Options{.table = m_table,
+                                                                    .objects = m_objects,
+                                                                    .clock = m_clock,
+                                                                    .metrics = m_metrics,
+                                                                    .random = seededRandom(i + 1),
+                                                                    .router = i == 0 ? "a" : "b",
+                                                                    .window = Duration::zero()});
     }
 
-    void begin(std::size_t router)
+    void startAttempt(std::size_t router)
     {
         m_attempts.push_back({.router = router});
         if (m_routers[router])
@@ -118,25 +118,27 @@
     {
         m_routers[m_attempts[i].router]->claim(
                 {.workspace = "w", .key = "k", .fingerprint = "f", .deadline = m_clock.now() + 15s},
-                [this, i](const Result<ClaimKeeper::Grant> &result) { decided(i, result); });
+                [this, i](const Result<ClaimManager::Grant> &result) {
+                    handleClaimResult(i, result);
+                });
     }
 
-    void decided(std::size_t i, const Result<ClaimKeeper::Grant> &result)
+    void handleClaimResult(std::size_t i, const Result<ClaimManager::Grant> &result)
     {
         Attempt &it = m_attempts[i];
         if (result && result.value().claim) {
             it.claim = result.value().claim;
         } else if (result) {
             it.replayed = result.value().answer.body;
-        } else if (m_rule == Rule::TakeOver && result.error().reason == Reason::OutcomeUnknown
-                   && !it.sent) {
+        } else if (m_protocol == Protocol::TakeOver
+                   && result.error().reason == Reason::OutcomeUnknown && !it.sent) {
             m_table.rows.clear();
             claim(i);
-        } else if (m_rule == Rule::SendUnclaimed
+        } else if (m_protocol == Protocol::SendUnclaimed
                    && result.error().reason == Reason::ClaimStoreDown) {
             it.executed = true;
         } else {
-            it.told = result.error().verdict;
+            it.reported = result.error().verdict;
         }
     }
 
@@ -160,7 +162,7 @@
     void addAttemptEvents(std::size_t i, std::vector<Event> &out)
     {
         const Attempt &it = m_attempts[i];
-        if (!it.claim || it.told)
+        if (!it.claim || it.reported)
             return;
         if (!it.sent) {
             out.emplace_back([this, i] { send(i); });
@@ -176,10 +178,10 @@
     void send(std::size_t i)
     {
         Attempt &it = m_attempts[i];
-        ClaimKeeper &keeper = *m_routers[it.router];
-        if (!keeper.maySend(*it.claim)) {
-            it.told = Verdict::NotRun;
-            keeper.release(it.claim);
+        ClaimManager &manager = *m_routers[it.router];
+        if (!manager.maySend(*it.claim)) {
+            it.reported = Verdict::NotRun;
+            manager.release(it.claim);
             return;
         }
         it.sent = true;
@@ -190,7 +192,7 @@
     {
         Attempt &it = m_attempts[i];
         m_firstAnswer = "answer of attempt " + std::to_string(i);
-        it.told = Verdict::Ran;
+        it.reported = Verdict::Ran;
         m_routers[it.router]->recordAnswer(it.claim, {200, "text/plain", m_firstAnswer});
     }
 
@@ -198,7 +200,7 @@
     {
         --m_faults;
         m_answerLost = true;
-        m_attempts[i].told = Verdict::MayHaveRun;
+        m_attempts[i].reported = Verdict::MayHaveRun;
         m_routers[m_attempts[i].router]->recordUnknown(m_attempts[i].claim);
     }
 
@@ -206,16 +208,16 @@
     {
         --m_faults;
         m_attempts[i].executed = false;
-        m_attempts[i].told = Verdict::NotRun;
+        m_attempts[i].reported = Verdict::NotRun;
         m_routers[m_attempts[i].router]->release(m_attempts[i].claim);
     }
 
-    void finishWell(std::size_t i)
+    void finishAttempt(std::size_t i)
     {
         const Attempt &it = m_attempts[i];
-        if (it.claim && !it.told && !it.sent)
+        if (it.claim && !it.reported && !it.sent)
             send(i);
-        if (it.claim && !it.told)
+        if (it.claim && !it.reported)
             answer(i);
     }
 
@@ -236,17 +238,17 @@
         m_crashed = true;
         m_routers[0].reset();
         for (Attempt &it : m_attempts) {
-            if (it.router == 0 && !it.told)
-                it.told = Verdict::MayHaveRun;
+            if (it.router == 0 && !it.reported)
+                it.reported = Verdict::MayHaveRun;
         }
     }
 
-    Rule m_rule;
+    Protocol m_protocol;
     ManualClock m_clock;
     Metrics m_metrics;
     FakeTable m_table;
     FakeObjectStore m_objects;
-    std::array<std::unique_ptr<ClaimKeeper>, 2> m_routers;
+    std::array<std::unique_ptr<ClaimManager>, 2> m_routers;
     std::vector<Attempt> m_attempts;
     std::string m_firstAnswer;
     int m_faults = 2;
@@ -258,11 +260,11 @@
 /// Explores every sequence of events up to a depth. Each sequence starts from the initial state.
 struct Exploration
 {
-    Rule rule = Rule::Correct;
+    Protocol protocol = Protocol::Correct;
     bool storeChecksVersions = true;
     std::size_t depth = 0;
     std::size_t states = 0;
-    std::size_t orders = 0;
+    std::size_t sequences = 0;
     std::string violation = {};
 
     void run()
@@ -274,9 +276,9 @@
         };
         std::vector<Choice> choices;
         do {
-            World world(rule, storeChecksVersions);
+            Simulation simulation(protocol, storeChecksVersions);
             for (std::size_t i = 0; i < depth && violation.empty(); ++i) {
-                const auto events = world.enabled();
+                const auto events = simulation.enabled();
                 if (events.empty())
                     break;
                 if (i == choices.size()) {
@@ -284,11 +286,11 @@
                     ++states;
                 }
                 events[choices[i].taken]();
-                violation = world.violation();
+                violation = simulation.violation();
             }
             if (violation.empty())
-                violation = world.settle();
-            ++orders;
+                violation = simulation.finishAll();
+            ++sequences;
             while (!choices.empty() && choices.back().taken + 1 == choices.back().of)
                 choices.pop_back();
             if (!choices.empty()) {
@@ -303,15 +305,15 @@
     {
         const RandomSource random = seededRandom(seed);
         for (int k = 0; k < n && violation.empty(); ++k) {
-            World world(rule, storeChecksVersions);
+            Simulation simulation(protocol, storeChecksVersions);
             for (std::size_t i = 0; i < depth && violation.empty(); ++i) {
-                const auto events = world.enabled();
+                const auto events = simulation.enabled();
                 if (!events.empty())
                     events[below(random, events.size())]();
-                violation = world.violation();
+                violation = simulation.violation();
             }
             if (violation.empty())
-                violation = world.settle();
+                violation = simulation.finishAll();
         }
     }
 };
@@ -324,7 +326,7 @@
 {
     Exploration all{.depth = 6};
     all.run();
-    MESSAGE("claims: ", all.states, " states, ", all.orders, " sequences to depth ", all.depth);
+    MESSAGE("claims: ", all.states, " states, ", all.sequences, " sequences to depth ", all.depth);
     CHECK(all.violation == "");
     CHECK(all.states > 10'000);
 }
@@ -338,10 +340,10 @@
 
 TEST_CASE("claimManager_faultyProtocol_isDetectedByTheSameCheck")
 {
-    Exploration takeOver{.rule = Rule::TakeOver, .depth = 6};
+    Exploration takeOver{.protocol = Protocol::TakeOver, .depth = 6};
     takeOver.run();
     CHECK(takeOver.violation == "the call ran twice");
-    Exploration unclaimed{.rule = Rule::SendUnclaimed, .depth = 6};
+    Exploration unclaimed{.protocol = Protocol::SendUnclaimed, .depth = 6};
     unclaimed.run();
     CHECK(unclaimed.violation != "");
     Exploration noCompareAndSet{.storeChecksVersions = false, .depth = 6};
--- a/test/ClaimKeeperTest.cpp
+++ b/test/ClaimManagerTest.cpp
@@ -2,7 +2,7 @@
 #include "FakeTable.h"
 
 #include "Base/ManualClock.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 #include "Request/ClaimSweeper.h"
 
 #include <doctest/doctest.h>
@@ -15,41 +15,41 @@
 
 struct ClaimFixture
 {
-    ClaimFixture() { keeper = make(1); }
+    ClaimFixture() { manager = make(1); }
 
-    std::unique_ptr<ClaimKeeper> make(std::uint64_t seed)
+    std::unique_ptr<ClaimManager> make(std::uint64_t seed)
     {
-        return std::make_unique<ClaimKeeper>(ClaimKeeper::Options{.table = table,
-                                                                  .objects = objects,
-                                                                  .clock = clock,
-                                                                  .metrics = metrics,
-                                                                  .random = seededRandom(seed),
-                                                                  .router = "a"});
+        return std::make_unique<ClaimManager>(ClaimManager::Options{.table = table,
+                                                                    .objects = objects,
+                                                                    .clock = clock,
+                                                                    .metrics = metrics,
+                                                                    .random = seededRandom(seed),
+                                                                    .router = "a"});
     }
 
     /// Starts a claim. \returns the index in `results` at which its result is stored.
-    std::size_t claim(ClaimKeeper &on, const std::string &key, const std::string &print = "f")
+    std::size_t claim(ClaimManager &on, const std::string &key, const std::string &print = "f")
     {
         const std::size_t i = results.size();
         results.emplace_back();
         on.claim(
                 {.workspace = "w", .key = key, .fingerprint = print, .deadline = clock.now() + 10s},
-                [this, i](Result<ClaimKeeper::Grant> it) { results[i] = std::move(it); });
+                [this, i](Result<ClaimManager::Grant> it) { results[i] = std::move(it); });
         return i;
     }
 
-    void pass(ClaimKeeper &on, Duration time = 5ms)
+    void advanceAndPoll(ClaimManager &on, Duration time = 5ms)
     {
         clock.advance(time);
         on.poll();
     }
 
-    ClaimPtr granted(const std::string &key)
+    ClaimPtr grantedClaim(const std::string &key)
     {
-        const std::size_t i = claim(*keeper, key);
+        const std::size_t i = claim(*manager, key);
         // A key that was released before takes a second write.
         for (int n = 0; n < 2; ++n) {
-            pass(*keeper);
+            advanceAndPoll(*manager);
             table.endAll();
         }
         REQUIRE(results[i]);
@@ -68,8 +68,8 @@
     Metrics metrics;
     FakeTable table;
     FakeObjectStore objects;
-    std::unique_ptr<ClaimKeeper> keeper;
-    std::vector<std::optional<Result<ClaimKeeper::Grant>>> results;
+    std::unique_ptr<ClaimManager> manager;
+    std::vector<std::optional<Result<ClaimManager::Grant>>> results;
 };
 
 } // namespace
@@ -77,9 +77,9 @@
 TEST_CASE_FIXTURE(ClaimFixture, "claims_manyWithinTheWindow_shareOneTransaction")
 {
     for (int i = 0; i < 50; ++i)
-        claim(*keeper, "key-" + std::to_string(i));
+        claim(*manager, "key-" + std::to_string(i));
     CHECK(table.commits == 0);
-    pass(*keeper);
+    advanceAndPoll(*manager);
     CHECK(table.commits == 1);
     table.endAll();
     for (const auto &it : results)
@@ -90,12 +90,12 @@
 {
     const auto other = make(2);
     claim(*other, "taken");
-    pass(*other);
+    advanceAndPoll(*other);
     table.endAll();
-    const std::size_t before = claim(*keeper, "free-1");
-    const std::size_t taken = claim(*keeper, "taken");
-    const std::size_t after = claim(*keeper, "free-2");
-    pass(*keeper);
+    const std::size_t before = claim(*manager, "free-1");
+    const std::size_t taken = claim(*manager, "taken");
+    const std::size_t after = claim(*manager, "free-2");
+    advanceAndPoll(*manager);
     table.endAll();
     CHECK(reasonOf(taken) == Reason::ClaimInProgress);
     CHECK((results[before] && results[before]->has_value()));
@@ -106,38 +106,38 @@
 TEST_CASE_FIXTURE(ClaimFixture, "claims_retryOnAnotherRouter_getsTheFirstAnswer")
 {
     const std::string large(100'000, '\xff');
-    keeper->recordAnswer(granted("short"), {201, "text/plain", "shed 5 MW"});
-    keeper->recordAnswer(granted("long"), {200, "application/octet-stream", large});
-    pass(*keeper);
+    manager->recordAnswer(grantedClaim("short"), {201, "text/plain", "shed 5 MW"});
+    manager->recordAnswer(grantedClaim("long"), {200, "application/octet-stream", large});
+    advanceAndPoll(*manager);
     table.endAll();
-    CHECK(keeper->unrecorded() == 0);
+    CHECK(manager->unrecordedOutcomes() == 0);
     const auto other = make(2);
     const std::size_t a = claim(*other, "short");
     const std::size_t b = claim(*other, "long");
     const std::size_t c = claim(*other, "short", "another fingerprint");
-    pass(*other);
+    advanceAndPoll(*other);
     table.endAll();
     REQUIRE((results[a] && results[a]->has_value()));
     CHECK(results[a]->value().answer.status == 201);
     CHECK(results[a]->value().answer.body == "shed 5 MW");
     CHECK(results[b]->value().answer.body == large);
     CHECK(reasonOf(c) == Reason::KeyReused);
-    granted("running");
-    CHECK(reasonOf(claim(*keeper, "running", "another fingerprint")) == Reason::KeyReused);
+    grantedClaim("running");
+    CHECK(reasonOf(claim(*manager, "running", "another fingerprint")) == Reason::KeyReused);
 }
 
 TEST_CASE_FIXTURE(ClaimFixture, "claims_holderCrashed_outcomeStaysUnknown")
 {
-    granted("key");
-    keeper.reset();
+    grantedClaim("key");
+    manager.reset();
     const auto other = make(2);
     const std::size_t during = claim(*other, "key");
-    pass(*other);
+    advanceAndPoll(*other);
     table.endAll();
     CHECK(reasonOf(during) == Reason::ClaimInProgress);
     clock.advance(20h);
     const std::size_t after = claim(*other, "key");
-    pass(*other);
+    advanceAndPoll(*other);
     table.endAll();
     CHECK(reasonOf(after) == Reason::OutcomeUnknown);
     CHECK((results[after]->error().verdict == Verdict::MayHaveRun));
@@ -145,53 +145,53 @@
 
 TEST_CASE_FIXTURE(ClaimFixture, "claims_storeTimeout_reportsNotRunAndReleasesTheKey")
 {
-    const std::size_t i = claim(*keeper, "key");
-    pass(*keeper);
-    pass(*keeper, 3s);
+    const std::size_t i = claim(*manager, "key");
+    advanceAndPoll(*manager);
+    advanceAndPoll(*manager, 3s);
     CHECK(reasonOf(i) == Reason::ClaimStoreDown);
     CHECK((results[i]->error().verdict == Verdict::NotRun));
     // The commit succeeds after the timeout. The caller's retry must still be able to claim the
     // key.
     table.endAll();
-    pass(*keeper);
+    advanceAndPoll(*manager);
     table.endAll();
-    granted("key");
+    grantedClaim("key");
 }
 
 TEST_CASE_FIXTURE(ClaimFixture, "claims_lateWriteOfAReleasedClaim_doesNotBlockTheKey")
 {
-    const std::size_t i = claim(*keeper, "key");
-    pass(*keeper);
+    const std::size_t i = claim(*manager, "key");
+    advanceAndPoll(*manager);
     table.end(0, Fate::Late); // The commit.
     table.end(0, Fate::Refused); // The read after the commit's lost answer.
     CHECK(reasonOf(i) == Reason::ClaimStoreDown);
-    pass(*keeper);
+    advanceAndPoll(*manager);
     table.endAll();
     table.applyLate(0);
-    granted("key");
+    grantedClaim("key");
 }
 
 TEST_CASE_FIXTURE(ClaimFixture, "claims_pausedHolder_maySendNothingAfterItsDeadline")
 {
-    const ClaimPtr it = granted("key");
-    CHECK(keeper->maySend(*it));
+    const ClaimPtr it = grantedClaim("key");
+    CHECK(manager->maySend(*it));
     clock.advance(10s);
-    CHECK(!keeper->maySend(*it));
+    CHECK(!manager->maySend(*it));
 }
 
 TEST_CASE_FIXTURE(ClaimFixture, "claims_storeUnavailableForTheOutcome_retriesAndAnswersLocally")
 {
-    const ClaimPtr it = granted("key");
-    keeper->recordAnswer(it, {200, "text/plain", "done"});
-    pass(*keeper);
+    const ClaimPtr it = grantedClaim("key");
+    manager->recordAnswer(it, {200, "text/plain", "done"});
+    advanceAndPoll(*manager);
     table.end(0, Fate::Refused);
-    const std::size_t i = claim(*keeper, "key");
+    const std::size_t i = claim(*manager, "key");
     REQUIRE((results[i] && results[i]->has_value()));
     CHECK(results[i]->value().answer.body == "done");
-    pass(*keeper, 1s);
-    pass(*keeper);
+    advanceAndPoll(*manager, 1s);
+    advanceAndPoll(*manager);
     table.endAll();
-    CHECK(keeper->unrecorded() == 0);
+    CHECK(manager->unrecordedOutcomes() == 0);
 }
 
 TEST_CASE_FIXTURE(ClaimFixture, "claimSweeper_expiredRow_isRemovedAndOthersStay")
--- a/test/ColdPaceTest.cpp
+++ b/test/ColdRateLimitTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/ColdPace.h"
+#include "Decide/ColdRateLimit.h"
 #include "Base/ManualClock.h"
 #include "Control/FleetView.h"
 #include "Decide/ReplicaPool.h"
@@ -38,12 +38,12 @@
             it.pool = std::make_unique<ReplicaPool>(ReplicaPool::Options{
                     .clock = clock,
                     .random = seededRandom(i),
-                    .routers = [&view] { return view.sharers(); },
+                    .routers = [&view] { return view.sharingRouters(); },
                     .isColdSender =
                             [&view](std::string_view replica, std::size_t senders) {
                                 return view.isChosenFor(replica, senders);
                             }});
-            it.pool->setColdLimit(Bearable);
+            it.pool->setColdRateLimit(FleetLimit);
             routers.push_back(std::move(it));
         }
     }
@@ -124,7 +124,7 @@
         return n;
     }
 
-    static constexpr double Bearable = 17;
+    static constexpr double FleetLimit = 17;
     static constexpr Duration ColdTime = 30s;
 
     ManualClock clock;
@@ -138,18 +138,18 @@
 
 TEST_CASE("coldPace_anyFleet_twoSetsOfSendersStayWithinWhatIsBorne")
 {
-    for (const double bearable : {0.4, 1.0, 1.9, 2.0, 5.0, 17.4, 50.0, 1000.0}) {
+    for (const double fleetLimit : {0.4, 1.0, 1.9, 2.0, 5.0, 17.4, 50.0, 1000.0}) {
         for (const int routers : {1, 2, 9, 73, 295, 890}) {
-            const ColdPace pace = ColdPace::shareOf(bearable, routers);
-            const double perSender = std::floor(1s / pace.spacing) + 1;
-            CAPTURE(bearable);
+            const ColdRateLimit pace = ColdRateLimit::fromFleetLimit(fleetLimit, routers);
+            const double perSender = std::floor(1s / pace.minInterval) + 1;
+            CAPTURE(fleetLimit);
             CAPTURE(routers);
             CHECK(pace.senders >= 1);
             CHECK(pace.senders <= static_cast<std::size_t>(routers));
-            if (bearable >= 2)
-                CHECK(2 * perSender * static_cast<double>(pace.senders) <= bearable);
+            if (fleetLimit >= 2)
+                CHECK(2 * perSender * static_cast<double>(pace.senders) <= fleetLimit);
             else
-                CHECK(toSeconds(pace.spacing) * bearable >= 2);
+                CHECK(toSeconds(pace.minInterval) * fleetLimit >= 2);
         }
     }
 }
@@ -162,7 +162,7 @@
     setReplicas(4, 36);
     load(2000, 8s);
     CHECK(refused == 0);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(arrivedAt("cold") > 0);
 }
 
@@ -179,7 +179,7 @@
     setReplicas(4, 30);
     load(1500, 8s);
     CHECK(refused == 0);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
 }
 
 // Guards against refusing while every replica is cold but all together bear the load.
@@ -189,7 +189,7 @@
     introduceAll();
     setReplicas(140, 0);
     load(600, 5s);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(refused < 30);
 }
 
@@ -199,7 +199,7 @@
     introduceAll();
     setReplicas(1, 0);
     load(100, 2s);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(refused > 100);
     clock.advance(ColdTime);
     refused = 0;
@@ -219,7 +219,7 @@
         it.pool->setEvacuated({});
     }
     load(400, 2s);
-    CHECK(mostInASecond("warm") <= Bearable);
+    CHECK(mostInASecond("warm") <= FleetLimit);
     CHECK(refused > 0);
     clock.advance(2s);
     refused = 0;
@@ -235,12 +235,12 @@
     introduceAll();
     setReplicas(0, 2);
     for (Router &it : routers)
-        it.pool->noteAway("warm-0");
+        it.pool->noteUnreachable("warm-0");
     load(400, 2s);
-    CHECK(mostInASecond("warm-0") <= Bearable);
+    CHECK(mostInASecond("warm-0") <= FleetLimit);
     CHECK(refused == 0);
     clock.advance(5s);
     arrivals.clear();
     load(400, 1s);
-    CHECK(mostInASecond("warm-0") > Bearable);
+    CHECK(mostInASecond("warm-0") > FleetLimit);
 }
--- a/test/ConfigKeeperTest.cpp
+++ b/test/ConfigManagerTest.cpp
@@ -55,7 +55,7 @@
     }
 
     /// Every router's own list of applied revisions, which may only rise.
-    void checkNeverFell()
+    void checkRevisionsOnlyRose()
     {
         for (std::size_t i = 0; i < group.size(); ++i) {
             const auto &applied = group.node(i).applied;
@@ -75,7 +75,7 @@
         REQUIRE(apply(base % 9, base));
         CHECK(group.runUntil([&] { return group.allHold(base + 1); }, 4s));
     }
-    checkNeverFell();
+    checkRevisionsOnlyRose();
     CHECK(group.objects().gets() == 0);
 }
 
@@ -86,7 +86,7 @@
     REQUIRE(group.runUntil([&] { return group.allHold(2); }, 4s));
     for (const std::uint64_t revision : {1, 2}) {
         CHECK_FALSE(
-                group.node(4).config->takeOver({.revision = revision, .hash = hash64(old)}, old));
+                group.node(4).config->activate({.revision = revision, .hash = hash64(old)}, old));
         CHECK(group.node(4).config->digest().revision == 2);
     }
     CHECK(group.node(4).config->text() != old);
@@ -95,7 +95,7 @@
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_bodyThatIsNotItsDigests_isNotApplied")
 {
     const std::string text = inventoryText(12, 5);
-    CHECK_FALSE(group.node(4).config->takeOver({.revision = 9, .hash = 1}, text));
+    CHECK_FALSE(group.node(4).config->activate({.revision = 9, .hash = 1}, text));
     CHECK(group.node(4).config->digest().revision == 1);
 }
 
@@ -120,7 +120,7 @@
         CHECK(winners == 1);
     }
     REQUIRE(group.runUntil([&] { return group.allHold(101); }, 4s));
-    checkNeverFell();
+    checkRevisionsOnlyRose();
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostCommitAnswer_isSettledAsAccepted")
@@ -212,7 +212,7 @@
     for (std::size_t i = 0; i < group.size(); ++i)
         group.node(i).membership->setVms(group.vms());
     CHECK(group.runUntil([&] { return group.allHold(6); }, 10s));
-    checkNeverFell();
+    checkRevisionsOnlyRose();
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
@@ -235,11 +235,11 @@
     const ManualClock clock;
     FakeTable table;
     FakeObjectStore objects;
-    ConfigKeeper keeper({.table = table,
-                         .objects = objects,
-                         .clock = clock,
-                         .random = seededRandom(1),
-                         .after = [](Duration, const std::function<void()> &) {}});
+    ConfigManager manager({.table = table,
+                           .objects = objects,
+                           .clock = clock,
+                           .random = seededRandom(1),
+                           .after = [](Duration, const std::function<void()> &) {}});
     const std::string first = inventoryText(12, 1);
     const std::string second = inventoryText(12, 2);
     const auto headOf = [](std::uint64_t revision, const std::string &text) {
@@ -249,12 +249,12 @@
     };
     table.rows[config_rows::Head] = {
             .key = config_rows::Head, .value = headOf(1, first), .version = 1};
-    REQUIRE(keeper.takeOver({.revision = 1, .hash = hash64(first)}, first));
+    REQUIRE(manager.activate({.revision = 1, .hash = hash64(first)}, first));
     Answer answer;
-    keeper.propose({.text = inventoryText(12, 3), .base = 1, .author = "desk"},
-                   [&](Result<std::uint64_t> it) { answer = it; });
+    manager.propose({.text = inventoryText(12, 3), .base = 1, .author = "desk"},
+                    [&](Result<std::uint64_t> it) { answer = it; });
     // The answer still shows the first revision, though a peer has told of the second.
-    REQUIRE(keeper.takeOver({.revision = 2, .hash = hash64(second)}, second));
+    REQUIRE(manager.activate({.revision = 2, .hash = hash64(second)}, second));
     table.end(0, FakeTable::Fate::Answered);
     table.rows[config_rows::Head] = {
             .key = config_rows::Head, .value = headOf(2, second), .version = 2};
@@ -263,7 +263,7 @@
     REQUIRE_FALSE(answer->has_value());
     CHECK(answer->error().reason == Reason::ConfigConflict);
     CHECK((answer->error().verdict == Verdict::NotRun));
-    CHECK(keeper.digest().revision == 2);
+    CHECK(manager.digest().revision == 2);
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
@@ -282,13 +282,13 @@
 {
     REQUIRE(apply(0, 1));
     std::optional<std::size_t> held;
-    group.node(0).spread->awaitHolders(2, 2, group.clock().now() + 2s,
-                                       [&](std::size_t n) { held = n; });
+    group.node(0).propagator->awaitHolders(2, 2, group.clock().now() + 2s,
+                                           [&](std::size_t n) { held = n; });
     REQUIRE(group.runUntil([&] { return held.has_value(); }, 2s));
     CHECK(*held >= 2);
     std::optional<std::size_t> late;
-    group.node(0).spread->awaitHolders(99, 2, group.clock().now() + 2s,
-                                       [&](std::size_t n) { late = n; });
+    group.node(0).propagator->awaitHolders(99, 2, group.clock().now() + 2s,
+                                           [&](std::size_t n) { late = n; });
     group.schedule(0);
     CHECK_FALSE(late);
     group.run(3s);
--- a/test/IdleTrustTest.cpp
+++ b/test/ConnectionReusePolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/IdleTrust.h"
+#include "Decide/ConnectionReusePolicy.h"
 #include "Base/ManualClock.h"
 #include "Base/Random.h"
 
@@ -12,7 +12,7 @@
 struct IdleTrustFixture
 {
     ManualClock clock;
-    IdleTrust trust{{.clock = clock}};
+    ConnectionReusePolicy trust{{.clock = clock}};
 
     /// \returns how many calls of \a n are lost where connections rest for random times up to
     /// \a most between two calls and are forgotten after \a forgottenAfter.
@@ -22,12 +22,12 @@
         int lost = 0;
         for (int i = 0; i < n; ++i) {
             clock.advance(50ms);
-            const Duration rested = scaled(most, uniform(random));
-            const bool reused = rested < trust.limit(false);
-            if (!reused || rested < forgottenAfter)
+            const Duration idleTime = scaled(most, uniform(random));
+            const bool reused = idleTime < trust.limit(false);
+            if (!reused || idleTime < forgottenAfter)
                 continue;
             ++lost;
-            trust.broke(rested, 2ms);
+            trust.reportBroken(idleTime, 2ms);
         }
         return lost;
     }
@@ -51,7 +51,7 @@
 
 TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_noneForgottenAnyMore_trustReturnsWithinAMinute")
 {
-    CHECK(trust.broke(400ms, 1ms));
+    CHECK(trust.reportBroken(400ms, 1ms));
     CHECK(trust.limit(false) == 200ms);
     clock.advance(9s);
     CHECK(trust.limit(false) == 200ms);
@@ -63,8 +63,8 @@
 
 TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_replicaBreaksAtWork_changesNothing")
 {
-    CHECK_FALSE(trust.broke(0s, 1ms)); // A new connection.
-    CHECK_FALSE(trust.broke(30ms, 1ms)); // Used a moment ago.
-    CHECK_FALSE(trust.broke(3s, 40ms)); // The request had arrived.
+    CHECK_FALSE(trust.reportBroken(0s, 1ms)); // A new connection.
+    CHECK_FALSE(trust.reportBroken(30ms, 1ms)); // Used a moment ago.
+    CHECK_FALSE(trust.reportBroken(3s, 40ms)); // The request had arrived.
     CHECK(trust.limit(false) == 6s);
 }
--- a/test/DecideAdmissionQueueTest.cpp
+++ b/test/DecideAdmissionQueueTest.cpp
@@ -29,7 +29,8 @@
                       .priority = priority,
                       .deadline = clock.now() + 60s,
                       .excluded = {}};
-        return queue.push({.job = job, .decided = {}, .since = {}, .limit = {}}, clock.now());
+        return queue.push({.job = job, .decided = {}, .submittedAt = {}, .expiresAt = {}},
+                          clock.now());
     }
 
     std::map<std::string, int> popMany(int n)
--- a/test/EngineKnowledgeTest.cpp
+++ b/test/EngineTrackerTest.cpp
@@ -1,9 +1,9 @@
 #include "Base/Hash.h"
 #include "Base/ManualClock.h"
 #include "Control/EngineDigest.h"
-#include "Control/EngineKvMover.h"
 #include "Control/EngineOwners.h"
 #include "Control/EnginePoller.h"
+#include "Control/KvCacheMigrator.h"
 #include "Decide/Rendezvous.h"
 #include "FakeEngines.h"
 
@@ -18,9 +18,9 @@
 
 namespace {
 
-struct KnowledgeFixture
+struct EngineTrackerFixture
 {
-    KnowledgeFixture() { knowledge.setOwned(names); }
+    EngineTrackerFixture() { tracker.setOwned(names); }
 
     EngineLoad load(double running, Duration ago = 0s)
     {
@@ -31,7 +31,7 @@
 
     ManualClock clock;
     std::array<std::string, 2> names = {"e1", "e2"};
-    EngineKnowledge knowledge{{.clock = clock, .maxAge = 15s, .chatsPerEngine = 3}};
+    EngineTracker tracker{{.clock = clock, .maxAge = 15s, .chatsPerEngine = 3}};
 };
 
 std::vector<RouterView> routersOf(int n)
@@ -56,71 +56,71 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_laggingReports_haveAnAgeAndAreForgotten")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_laggingReports_haveAnAgeAndAreForgotten")
 {
-    CHECK_FALSE(knowledge.hint("e1"));
-    knowledge.noteLoad("e1", load(5, 3s));
+    CHECK_FALSE(tracker.hint("e1"));
+    tracker.recordLoad("e1", load(5, 3s));
     clock.advance(2s);
-    REQUIRE(knowledge.hint("e1"));
-    CHECK(knowledge.hint("e1")->age == 5s);
-    knowledge.noteLoad("e1", load(9, 8s)); // Crossed on its way with the younger one.
-    CHECK(knowledge.hint("e1")->load == 5);
-    knowledge.noteLoad("e2", load(1, -1h)); // A clock that runs ahead.
-    CHECK(knowledge.hint("e2")->age == 0s);
+    REQUIRE(tracker.hint("e1"));
+    CHECK(tracker.hint("e1")->age == 5s);
+    tracker.recordLoad("e1", load(9, 8s)); // Crossed on its way with the younger one.
+    CHECK(tracker.hint("e1")->load == 5);
+    tracker.recordLoad("e2", load(1, -1h)); // A clock that runs ahead.
+    CHECK(tracker.hint("e2")->age == 0s);
     clock.advance(11s);
-    CHECK_FALSE(knowledge.hint("e1"));
-    knowledge.noteUnreachable("e1");
-    CHECK_FALSE(knowledge.hint("e1")->reachable);
+    CHECK_FALSE(tracker.hint("e1"));
+    tracker.recordUnreachable("e1");
+    CHECK_FALSE(tracker.hint("e1")->reachable);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_gapInCacheEvents_halvesWhatIsFromBefore")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_gapInCacheEvents_halvesWhatIsFromBefore")
 {
-    knowledge.noteEvents("e1",
-                         {.events = {{.seq = 1, .chat = "a", .tokens = 100},
-                                     {.seq = 2, .chat = "b", .tokens = 60}},
-                          .next = 2});
-    CHECK(knowledge.cursor("e1") == 2);
-    knowledge.noteEvents("e1",
-                         {.events = {{.seq = 2, .chat = "b", .tokens = 1},
-                                     {.seq = 5, .chat = "c", .tokens = 80}},
-                          .next = 5});
-    CHECK(knowledge.gaps() == 1);
-    CHECK(knowledge.cachedTokens("e1", "a") == 50);
-    CHECK(knowledge.cachedTokens("e1", "b") == 30);
-    CHECK(knowledge.cachedTokens("e1", "c") == 80);
-    knowledge.noteServed("e1", "a", 7, 120);
-    CHECK(knowledge.cachedTokens("e1", "a") == 120);
-    knowledge.noteEvents("e1", {.events = {{.seq = 6, .chat = "c", .stored = false}}, .next = 6});
-    CHECK(knowledge.cachedTokens("e1", "c") == 0);
+    tracker.applyEvents("e1",
+                        {.events = {{.seq = 1, .chat = "a", .tokens = 100},
+                                    {.seq = 2, .chat = "b", .tokens = 60}},
+                         .next = 2});
+    CHECK(tracker.cursor("e1") == 2);
+    tracker.applyEvents("e1",
+                        {.events = {{.seq = 2, .chat = "b", .tokens = 1},
+                                    {.seq = 5, .chat = "c", .tokens = 80}},
+                         .next = 5});
+    CHECK(tracker.gaps() == 1);
+    CHECK(tracker.cachedTokens("e1", "a") == 50);
+    CHECK(tracker.cachedTokens("e1", "b") == 30);
+    CHECK(tracker.cachedTokens("e1", "c") == 80);
+    tracker.recordServed("e1", "a", 7, 120);
+    CHECK(tracker.cachedTokens("e1", "a") == 120);
+    tracker.applyEvents("e1", {.events = {{.seq = 6, .chat = "c", .stored = false}}, .next = 6});
+    CHECK(tracker.cachedTokens("e1", "c") == 0);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_restartedEngine_isBelievedToHoldNothing")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_restartedEngine_isBelievedToHoldNothing")
 {
-    knowledge.noteEvents("e1", {.events = {{.seq = 9, .chat = "a", .tokens = 100}}, .next = 9});
-    knowledge.noteEvents("e1", {.events = {}, .next = 0});
-    CHECK(knowledge.cachedTokens("e1", "a") == 0);
-    knowledge.noteEvents("e1", {.events = {{.seq = 1, .chat = "b", .tokens = 10}}, .next = 1});
-    CHECK(knowledge.cachedTokens("e1", "b") == 10);
+    tracker.applyEvents("e1", {.events = {{.seq = 9, .chat = "a", .tokens = 100}}, .next = 9});
+    tracker.applyEvents("e1", {.events = {}, .next = 0});
+    CHECK(tracker.cachedTokens("e1", "a") == 0);
+    tracker.applyEvents("e1", {.events = {{.seq = 1, .chat = "b", .tokens = 10}}, .next = 1});
+    CHECK(tracker.cachedTokens("e1", "b") == 10);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "knowledge_moreChatsThanTheLimit_keepsTheLatest")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_moreChatsThanTheLimit_keepsTheLatest")
 {
     for (const char *it : {"a", "b", "c", "d"})
-        knowledge.noteServed("e1", it, 1, 10);
-    CHECK(knowledge.chatsOf("e1").size() == 3);
-    CHECK(knowledge.cachedTokens("e1", "a") == 0);
+        tracker.recordServed("e1", it, 1, 10);
+    CHECK(tracker.chatsOf("e1").size() == 3);
+    CHECK(tracker.cachedTokens("e1", "a") == 0);
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "poller_twoEnginesOneDown_readsThemInTurnAndSaysWhichIsDown")
+TEST_CASE_FIXTURE(EngineTrackerFixture,
+                  "poller_twoEnginesOneDown_readsThemInTurnAndSaysWhichIsDown")
 {
     FakeEngines engines;
     engines.machines["a1"].load = load(4);
     engines.machines["a2"].isDown = true;
     bool hasRoom = false;
-    EnginePoller poller(
-            {.clock = clock, .engines = engines, .knowledge = knowledge, .mayDefer = [&] {
-                 return hasRoom;
-             }});
+    EnginePoller poller({.clock = clock, .engines = engines, .tracker = tracker, .mayDefer = [&] {
+                             return hasRoom;
+                         }});
     poller.setEngines({{.name = "e1", .address = "a1"}, {.name = "e2", .address = "a2"}});
     const auto pass = [&] {
         for (int i = 0; i < 20; ++i) {
@@ -130,39 +130,39 @@
         }
     };
     pass();
-    CHECK_FALSE(knowledge.hint("e1")); // No room for control traffic.
+    CHECK_FALSE(tracker.hint("e1")); // No room for control traffic.
     hasRoom = true;
     pass();
-    REQUIRE(knowledge.hint("e1"));
-    CHECK(knowledge.hint("e1")->load == 4);
-    REQUIRE(knowledge.hint("e2"));
-    CHECK_FALSE(knowledge.hint("e2")->reachable);
+    REQUIRE(tracker.hint("e1"));
+    CHECK(tracker.hint("e1")->load == 4);
+    REQUIRE(tracker.hint("e2"));
+    CHECK_FALSE(tracker.hint("e2")->reachable);
 }
 
 TEST_CASE("digest_tenThousandEngines_staysWithinItsSizeAndNamesTheWorst")
 {
     ManualClock clock;
-    EngineKnowledge knowledge({.clock = clock});
+    EngineTracker tracker({.clock = clock});
     const std::vector<std::string> names = engineNames(10'000);
-    knowledge.setOwned(names);
+    tracker.setOwned(names);
     for (std::size_t i = 0; i < names.size(); ++i)
-        knowledge.noteLoad(
+        tracker.recordLoad(
                 names[i],
                 {.running = i % 100 == 0 ? 50.0 + double(i) / 100 : 8.0, .asOf = clock.wallNow()});
-    knowledge.noteUnreachable("engine-7");
-    const std::string text = EngineDigest::of(knowledge, names, 1.25).encode();
+    tracker.recordUnreachable("engine-7");
+    const std::string text = EngineDigest::of(tracker, names, 1.25).encode();
     CHECK(text.size() <= 134);
     const auto digest = EngineDigest::decode(text);
     REQUIRE(digest);
-    EngineDigestBoard board(clock);
-    board.absorb("router-1", *digest);
-    REQUIRE(board.hint("engine-7"));
-    CHECK_FALSE(board.hint("engine-7")->reachable);
-    REQUIRE(board.hint("engine-9900"));
-    CHECK(board.hint("engine-9900")->load == doctest::Approx(149).epsilon(0.04));
-    CHECK_FALSE(board.hint("engine-8"));
+    PeerEngineDigests digests(clock);
+    digests.update("router-1", *digest);
+    REQUIRE(digests.hint("engine-7"));
+    CHECK_FALSE(digests.hint("engine-7")->reachable);
+    REQUIRE(digests.hint("engine-9900"));
+    CHECK(digests.hint("engine-9900")->load == doctest::Approx(149).epsilon(0.04));
+    CHECK_FALSE(digests.hint("engine-8"));
     clock.advance(16s);
-    CHECK_FALSE(board.hint("engine-7"));
+    CHECK_FALSE(digests.hint("engine-7"));
     for (const char *it : {"", "AAAA", "AQAQAA", "!!"})
         CHECK_FALSE(EngineDigest::decode(it));
 }
@@ -173,9 +173,9 @@
     const std::vector<std::string> names = engineNames(1000);
     owners.setRouters(routersOf(100));
     owners.setEngines(names);
-    const std::uint64_t before = owners.scored();
+    const std::uint64_t before = owners.scoreCount();
     owners.setRouters(routersOf(99));
-    CHECK(owners.scored() - before < 30 * 99);
+    CHECK(owners.scoreCount() - before < 30 * 99);
     owners.setRouters(routersOf(100));
     std::size_t total = 0;
     for (const RouterView &it : routersOf(100)) {
@@ -189,11 +189,11 @@
     CHECK(total == 1000); // Each engine has exactly one owner while the lists agree.
 }
 
-TEST_CASE_FIXTURE(KnowledgeFixture, "kvMove_plannedLeave_copiesEachChatToTheNextInItsOrder")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "kvMove_plannedLeave_copiesEachChatToTheNextInItsOrder")
 {
     FakeEngines engines;
     Metrics metrics;
-    EngineKvMover mover({.engines = engines, .knowledge = knowledge, .metrics = metrics});
+    KvCacheMigrator migrator({.engines = engines, .tracker = tracker, .metrics = metrics});
     YamlProblems problems;
     const auto inventory = [&](bool leaving) {
         std::string text = "places: [{name: d, region: r}]\nengines:\n";
@@ -206,12 +206,12 @@
     for (int i = 1; i <= 4; ++i)
         engines.machines[fmt::format("10.0.0.{}:80", i)] = {};
     engines.machines["10.0.0.1:80"].kv = {{"a", "blob-a"}, {"b", "blob-b"}};
-    knowledge.noteServed("e1", "a", 11, 10);
-    knowledge.noteServed("e1", "b", 12, 20);
-    knowledge.noteServed("e1", "gone", 13, 5); // Evicted meanwhile: fails and does no harm.
-    mover.setInventory(inventory(false));
-    CHECK(mover.waiting() == 0);
-    mover.setInventory(inventory(true));
+    tracker.recordServed("e1", "a", 11, 10);
+    tracker.recordServed("e1", "b", 12, 20);
+    tracker.recordServed("e1", "gone", 13, 5); // Evicted meanwhile: fails and does no harm.
+    migrator.setInventory(inventory(false));
+    CHECK(migrator.waiting() == 0);
+    migrator.setInventory(inventory(true));
     for (int i = 0; i < 10; ++i)
         engines.deliver();
     const std::array<std::pair<const char *, std::uint64_t>, 2> chats = {{{"a", 11}, {"b", 12}}};
--- a/test/EntryRequestTest.cpp
+++ b/test/EntryRequestTest.cpp
@@ -142,9 +142,9 @@
              .metrics = metrics,
              .runEnded =
                      [this](const CrashWatch::BrokenRun &it, TimePoint) {
-                         quarantine.replicaEnded(it.fingerprint, it.replica, it.software);
+                         quarantine.replicaCrashed(it.fingerprint, it.replica, it.software);
                      },
-             .replicaEnded = [this](const std::string &it) { pools.noteEnded(it, 3s); }}};
+             .replicaCrashed = [this](const std::string &it) { pools.noteEnded(it, 3s); }}};
     bool refusesNew = false;
     std::vector<RequestEvent> events; ///< Calls in progress at the end of a test report here too.
     EntryGateway gateway{{.loop = loop,
@@ -157,17 +157,17 @@
                           .quarantine = quarantine,
                           .crashes = crashes,
                           .random = seededRandom(2),
-                          .sharers = [] { return 1; },
+                          .sharingRouters = [] { return 1; },
                           .refusesNew = [this] { return refusesNew; },
                           .replicaLeaves =
                                   [this](const std::string &it) {
-                                      registry.noteLeaving(it,
+                                      registry.markLeaving(it,
                                                            ReplicaRegistry::LeavingSource::Answer);
                                       pools.setReplicas(registry.replicas());
                                   },
                           .othersLeave =
                                   [this](const std::string &address, const std::string &id) {
-                                      registry.noteLeavingAt(address, id);
+                                      registry.markLeavingAt(address, id);
                                       pools.setReplicas(registry.replicas());
                                   },
                           .report = [this](const RequestEvent &it) { events.push_back(it); }}};
@@ -674,9 +674,9 @@
         return {.bytes = ScriptedReplica::answer(request, 200, "fine")};
     });
     // However long this machine takes until the reset is seen.
-    IdleTrust &idle = pools.of("svc").idle;
+    ConnectionReusePolicy &idle = pools.of("svc").idle;
     std::destroy_at(&idle);
-    std::construct_at(&idle, IdleTrust::Options{.clock = loop, .answerTime = 1min});
+    std::construct_at(&idle, ConnectionReusePolicy::Options{.clock = loop, .maxResetTime = 1min});
     RawCaller caller(Port);
     call(caller, get("/safe/"), "fine");
     until([] { return false; }, 150);
--- a/test/EvacuatedDomainsTest.cpp
+++ b/test/EvacuatedDomainsTest.cpp
@@ -1,5 +1,5 @@
 #include "Control/EvacuatedDomains.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 
 #include <doctest/doctest.h>
 
@@ -59,20 +59,21 @@
 {
     evacuated.accept({.storeVersion = 10});
     evacuated.accept({.storeVersion = 11});
-    CHECK_FALSE(evacuated.isWorthTelling());
+    CHECK_FALSE(evacuated.shouldAnnounce());
     CHECK(changes == 0);
     evacuated.accept({.storeVersion = 12, .domains = {"d1"}});
     evacuated.accept({.storeVersion = 13});
-    CHECK(evacuated.isWorthTelling());
+    CHECK(evacuated.shouldAnnounce());
 }
 
 TEST_CASE_FIXTURE(EvacuatedDomainsFixture, "evacuatedDomains_inABeat_areReadBack")
 {
-    BeatCodec codec;
-    const RouterBeat sent{.name = "a", .evacuated = {.storeVersion = 1ULL << 40, .domains = {"d"}}};
-    const Result<RouterBeat> read = codec.decode(BeatCodec::encode(sent));
+    HeartbeatCodec codec;
+    const RouterHeartbeat sent{.name = "a",
+                               .evacuated = {.storeVersion = 1ULL << 40, .domains = {"d"}}};
+    const Result<RouterHeartbeat> read = codec.decode(HeartbeatCodec::encode(sent));
     REQUIRE(read);
     CHECK(read.value().evacuated.storeVersion == 1ULL << 40);
     CHECK(read.value().evacuated.domains == Domains{"d"});
-    CHECK(BeatCodec::encode({.name = "a"}).find("\"ev\"") == std::string::npos);
+    CHECK(HeartbeatCodec::encode({.name = "a"}).find("\"ev\"") == std::string::npos);
 }
--- a/test/FakeEngines.h
+++ b/test/FakeEngines.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/ManualClock.h"
-#include "Control/EnginePort.h"
+#include "Control/EngineClient.h"
 
 #include <algorithm>
 #include <functional>
@@ -15,7 +15,7 @@
 
 /// \brief Engines and their weight store in memory, behind the port that the controllers use.
 /// Answers come with deliver(); an order can be held back to arrive late.
-class FakeEngines final : public EnginePort
+class FakeEngines final : public EngineClient
 {
 public:
     struct Machine
@@ -48,7 +48,7 @@
                 address, [done](Machine &it) { done(it.state); }, done);
     }
 
-    void give(std::string address, EngineOrder order, Callback<OrderAnswer> done) override
+    void sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done) override
     {
         const bool isLoad = order.kind == OrderKind::LoadModel;
         if (isLoad)
@@ -89,7 +89,7 @@
                 done);
     }
 
-    void askWeights(std::string, std::string, Callback<void> done) override
+    void requestWeights(std::string, std::string, Callback<void> done) override
     {
         if (clock && m_openAt == TimePoint())
             m_openAt = clock->now() + weightStoreClosedFor;
--- a/test/RepeatBudgetTest.cpp
+++ b/test/FleetRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/RepeatBudget.h"
+#include "Decide/FleetRetryBudget.h"
 #include "Base/ManualClock.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
     explicit RepeatBudgetFixture(int n = 9)
     {
         for (int i = 0; i < n; ++i)
-            routers.push_back(RepeatBudget({.clock = clock, .share = Share, .slack = Slack}));
+            routers.push_back(FleetRetryBudget({.clock = clock, .share = Share, .slack = Slack}));
     }
 
     /// \returns the most repeats beyond the allowance in any window of ten seconds.
@@ -32,7 +32,7 @@
                 for (int k = 0; k < requestsPerTick; ++k) {
                     routers[i].countRequest();
                     ++requests.back();
-                    if (routers[i].tryRepeat(static_cast<int>(routers.size())))
+                    if (routers[i].tryRetry(static_cast<int>(routers.size())))
                         ++repeats.back();
                 }
             }
@@ -56,7 +56,7 @@
     }
 
     ManualClock clock;
-    std::vector<RepeatBudget> routers;
+    std::vector<FleetRetryBudget> routers;
     std::deque<double> requests{0};
     std::deque<double> repeats{0};
 };
@@ -84,7 +84,7 @@
     int allowed = 0;
     for (int i = 0; i < 100; ++i) {
         routers[0].countRequest();
-        if (i % 10 == 0 && routers[0].tryRepeat(9))
+        if (i % 10 == 0 && routers[0].tryRetry(9))
             ++allowed;
         clock.advance(200ms);
     }
@@ -95,5 +95,5 @@
 {
     routers[0].setOptions(0, 0);
     routers[0].countRequest();
-    CHECK_FALSE(routers[0].tryRepeat(1));
+    CHECK_FALSE(routers[0].tryRetry(1));
 }
--- a/test/FleetViewTest.cpp
+++ b/test/FleetViewTest.cpp
@@ -17,7 +17,7 @@
 
 struct FleetViewFixture
 {
-    RouterBeat beat(const std::string &name, std::uint64_t sequence = 1)
+    RouterHeartbeat heartbeat(const std::string &name, std::uint64_t sequence = 1)
     {
         return {.name = name,
                 .incarnation = 5,
@@ -74,32 +74,32 @@
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_beatsOutOfOrder_theNewestCounts")
 {
-    CHECK(view.receive(beat("a", 3)));
-    RouterBeat late = beat("a", 2);
+    CHECK(view.receive(heartbeat("a", 3)));
+    RouterHeartbeat late = heartbeat("a", 2);
     late.ready = false;
     CHECK_FALSE(view.receive(late));
-    CHECK_FALSE(view.receive(beat("a", 3)));
-    RouterBeat restarted = beat("a", 1);
+    CHECK_FALSE(view.receive(heartbeat("a", 3)));
+    RouterHeartbeat restarted = heartbeat("a", 1);
     restarted.incarnation = 6;
     CHECK(view.receive(restarted));
-    CHECK_FALSE(view.receive(beat("me", 9)));
+    CHECK_FALSE(view.receive(heartbeat("me", 9)));
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_silentRouter_isNotNamedButStillShares")
 {
-    view.receive(beat("a"));
-    CHECK(view.sharers() == 2);
+    view.receive(heartbeat("a"));
+    CHECK(view.sharingRouters() == 2);
     clock.advance(2s);
     CHECK(view.live().empty());
-    CHECK(view.sharers() == 2);
+    CHECK(view.sharingRouters() == 2);
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_registeredRouters_shareBeforeTheyAreHeard")
 {
     setRegistered({"a", "b"});
-    CHECK(view.sharers() == 3);
-    view.receive(beat("a"));
-    CHECK(view.sharers() == 3);
+    CHECK(view.sharingRouters() == 3);
+    view.receive(heartbeat("a"));
+    CHECK(view.sharingRouters() == 3);
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_targets_areVisitedInTurn")
@@ -118,21 +118,21 @@
     std::vector<std::string> names(100);
     for (std::size_t i = 0; i < names.size(); ++i)
         names[i] = "r" + std::to_string(i);
-    std::map<std::string, int> beats;
+    std::map<std::string, int> heartbeats;
     for (const std::string &self : names) {
         FleetView own({.clock = clock, .self = self});
         own.setRegistered(rowsOf(names));
-        for (const std::string &it : own.nextTargets(FleetView::BeatFanout))
-            ++beats[it];
+        for (const std::string &it : own.nextTargets(FleetView::HeartbeatFanout))
+            ++heartbeats[it];
     }
-    for (const auto &[address, n] : beats)
+    for (const auto &[address, n] : heartbeats)
         CHECK(n < 60); // 26 in the mean, 100 where all begin alike.
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_addressNeitherRegisteredNorHeard_isForgotten")
 {
     setRegistered({"a", "b"});
-    view.receive(beat("b"));
+    view.receive(heartbeat("b"));
     setRegistered({});
     CHECK(view.nextTargets(9) == std::vector<std::string>{"b:2"});
 }
@@ -140,17 +140,17 @@
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_freshest_hasTheNewestRevisionAndTheYoungestProof")
 {
     CHECK(view.freshest(1s) == nullptr);
-    view.receive(beat("a"));
-    RouterBeat younger = beat("b");
+    view.receive(heartbeat("a"));
+    RouterHeartbeat younger = heartbeat("b");
     younger.proofAge = 10ms;
     view.receive(younger);
-    CHECK(view.freshest(1s)->beat.name == "b");
-    RouterBeat newer = beat("c");
+    CHECK(view.freshest(1s)->heartbeat.name == "b");
+    RouterHeartbeat newer = heartbeat("c");
     newer.revision = 5;
     newer.proofAge = 900ms;
     view.receive(newer);
-    CHECK(view.freshest(1s)->beat.name == "c");
-    CHECK(view.freshest(500ms)->beat.name == "b");
+    CHECK(view.freshest(1s)->heartbeat.name == "c");
+    CHECK(view.freshest(500ms)->heartbeat.name == "b");
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readers_areTheStrongestThatReachTheStore")
@@ -158,17 +158,17 @@
     FleetView::Reader self{.name = "me"};
     CHECK(view.readers(self) == std::vector<std::string>{"me"});
     for (const char *it : {"a", "b", "c", "d"})
-        view.receive(beat(it));
-    RouterBeat strong = beat("strong");
+        view.receive(heartbeat(it));
+    RouterHeartbeat strong = heartbeat("strong");
     strong.processorShare = 4;
     view.receive(strong);
-    RouterBeat cutOff = beat("cut");
+    RouterHeartbeat cutOff = heartbeat("cut");
     cutOff.processorShare = 8;
     cutOff.storeFailing = true; // Its proof is fresh all the same: other routers renew it.
     view.receive(cutOff);
-    RouterBeat silent = beat("silent");
+    RouterHeartbeat silent = heartbeat("silent");
     silent.processorShare = 8;
-    silent.storeSilence = 1400ms; // It waits for an answer, which does not come.
+    silent.storeUnansweredFor = 1400ms; // It waits for an answer, which does not come.
     view.receive(silent);
     const std::vector<std::string> readers = view.readers(self);
     CHECK(readers.size() == FleetView::ReaderCount);
@@ -208,15 +208,15 @@
         const std::vector<std::string> first = readersOf(0);
         for (int i = 1 + round % 16; i < Routers; i += 16)
             CHECK(readersOf(i) == first);
-        clock.advance(FleetView::BeatInterval);
+        clock.advance(FleetView::HeartbeatInterval);
         for (int i = 0; i < Routers; ++i) {
-            RouterBeat out = beat(rows[i].name, static_cast<std::uint64_t>(round) + 1);
+            RouterHeartbeat out = heartbeat(rows[i].name, static_cast<std::uint64_t>(round) + 1);
             out.processorShare = shareOf(i);
-            for (const std::string &to : views[i].nextTargets(FleetView::BeatFanout))
+            for (const std::string &to : views[i].nextTargets(FleetView::HeartbeatFanout))
                 views[numberOf.at(to)].receive(out);
         }
     }
-    CHECK(views[0].beatsInRound() == 12);
+    CHECK(views[0].heartbeatsPerRound() == 12);
 }
 
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_readerDoesNotAnswer_theNextOneReadsUntilItIsHeard")
@@ -230,7 +230,7 @@
     clock.advance(700ms);
     view.noteUnanswered("gone", asked);
     CHECK(view.readers(self) == std::vector<std::string>{"a", "b"});
-    RouterBeat back = beat("gone");
+    RouterHeartbeat back = heartbeat("gone");
     back.processorShare = 8;
     view.receive(back);
     view.noteUnanswered("gone", asked); // It was heard since.
@@ -240,12 +240,12 @@
 TEST_CASE_FIXTURE(FleetViewFixture, "fleetView_unheardRouters_areNamedInTheFirstRoundsOnly")
 {
     setRegistered({"a", "b"});
-    CHECK(view.unheard().size() == 2);
-    view.receive(beat("a"));
-    CHECK(view.unheard().size() == 1);
+    CHECK(view.unseen().size() == 2);
+    view.receive(heartbeat("a"));
+    CHECK(view.unseen().size() == 1);
     CHECK(named() == "a:1 b:1 me:1 ");
     clock.advance(5s);
-    CHECK(view.unheard().empty());
+    CHECK(view.unseen().empty());
     CHECK(named() == "me:1 ");
     CHECK(view.readers({.name = "me"}) == std::vector<std::string>{"me"});
 }
@@ -254,7 +254,7 @@
 {
     settings.processorShare = 0.5;
     for (int i = 0; i < 20; ++i) {
-        RouterBeat weak = beat("w" + std::to_string(i));
+        RouterHeartbeat weak = heartbeat("w" + std::to_string(i));
         weak.processorShare = 0.125;
         view.receive(weak);
     }
@@ -272,11 +272,11 @@
 
 TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_unreadyAndLeavingRouters_areNotNamed")
 {
-    RouterBeat unready = beat("b");
+    RouterHeartbeat unready = heartbeat("b");
     unready.ready = false;
-    RouterBeat stopping = beat("c");
+    RouterHeartbeat stopping = heartbeat("c");
     stopping.leaving = true;
-    view.receive(beat("a"));
+    view.receive(heartbeat("a"));
     view.receive(unready);
     view.receive(stopping);
     CHECK(named() == "a:1 me:1 ");
@@ -287,7 +287,7 @@
 TEST_CASE_FIXTURE(FleetViewFixture, "entryDirectory_nobodyReady_namesThoseThatRun")
 {
     ready = false;
-    RouterBeat unready = beat("b");
+    RouterHeartbeat unready = heartbeat("b");
     unready.ready = false;
     view.receive(unready);
     CHECK(named() == "b:1 me:1 ");
@@ -298,20 +298,20 @@
 
 TEST_CASE_FIXTURE(FleetViewFixture, "beatCodec_allFields_areReadBackAndRubbishIsRefused")
 {
-    RouterBeat it = beat("a", 77);
+    RouterHeartbeat it = heartbeat("a", 77);
     it.failureDomain = "hall";
     it.leaving = true;
     it.replicasAge = Duration::max();
     it.proofAge = 1500us;
     it.replicas = {.counts = {{"i-1", 3}}, .ejected = {"i-2"}};
     it.prompts = {{"i-1", {5, 1ULL << 63}}};
-    it.listed = {"i-1~34"};
+    it.discovered = {"i-1~34"};
     it.replicas.leaving = {"i-3"};
-    it.crashes = {
-            {.fingerprint = "f1", .clearedAge = 9ms},
-            {.fingerprint = "f2", .ends = {{.replica = "i-1", .software = "svc v1", .age = 30ms}}}};
-    BeatCodec codec;
-    const Result<RouterBeat> read = codec.decode(BeatCodec::encode(it));
+    it.crashes = {{.fingerprint = "f1", .clearedAge = 9ms},
+                  {.fingerprint = "f2",
+                   .replicaCrashes = {{.replica = "i-1", .software = "svc v1", .age = 30ms}}}};
+    HeartbeatCodec codec;
+    const Result<RouterHeartbeat> read = codec.decode(HeartbeatCodec::encode(it));
     REQUIRE(read);
     CHECK(read.value().name == "a");
     CHECK(read.value().sequence == 77);
@@ -321,16 +321,16 @@
     CHECK(read.value().replicas.counts.at("i-1") == 3);
     CHECK(read.value().replicas.ejected == std::vector<std::string>{"i-2"});
     CHECK(read.value().prompts.at("i-1") == std::vector<std::uint64_t>{5, 1ULL << 63});
-    CHECK(read.value().listed == std::vector<std::string>{"i-1~34"});
+    CHECK(read.value().discovered == std::vector<std::string>{"i-1~34"});
     CHECK(read.value().replicas.leaving == std::vector<std::string>{"i-3"});
     REQUIRE(read.value().crashes.size() == 2);
     CHECK(read.value().crashes[0].fingerprint == "f1");
     CHECK(read.value().crashes[0].clearedAge == Duration(9ms));
-    CHECK(read.value().crashes[0].ends.empty());
+    CHECK(read.value().crashes[0].replicaCrashes.empty());
     CHECK_FALSE(read.value().crashes[1].clearedAge);
-    CHECK(read.value().crashes[1].ends.at(0).replica == "i-1");
-    CHECK(read.value().crashes[1].ends.at(0).software == "svc v1");
-    CHECK(read.value().crashes[1].ends.at(0).age == Duration(30ms));
+    CHECK(read.value().crashes[1].replicaCrashes.at(0).replica == "i-1");
+    CHECK(read.value().crashes[1].replicaCrashes.at(0).software == "svc v1");
+    CHECK(read.value().crashes[1].replicaCrashes.at(0).age == Duration(30ms));
     CHECK_FALSE(codec.decode("{}"));
     CHECK_FALSE(codec.decode("no json"));
     CHECK_FALSE(codec.decode(R"({"jsonrpc":"2.0","method":"b","params":{"n":[1]}})"));
@@ -348,26 +348,26 @@
     for (int i = 0; i < 40; ++i) {
         FleetView view({.clock = clock, .self = "other"});
         view.setRegistered(all);
-        for (const std::string &it : view.keepersOf("subject", 8))
+        for (const std::string &it : view.holdersOf("subject", 8))
             chosen.insert(it);
         std::rotate(all.begin(), all.begin() + 1, all.end());
     }
     CHECK(chosen.size() == 8);
     FleetView alone({.clock = clock, .self = "other"});
-    CHECK(alone.keepersOf("subject", 8).empty());
+    CHECK(alone.holdersOf("subject", 8).empty());
 }
 
 TEST_CASE("beatCodec_ageThatCannotBeOne_provesNothing")
 {
-    RouterBeat it{.name = "a", .proofAge = 5ms, .replicasAge = 6ms};
-    const std::string text = BeatCodec::encode(it);
+    RouterHeartbeat it{.name = "a", .proofAge = 5ms, .replicasAge = 6ms};
+    const std::string text = HeartbeatCodec::encode(it);
     const auto withAge = [&](const std::string &ms) {
         std::string changed = text;
         const std::size_t at = changed.find("\"a\":5");
         REQUIRE(at != std::string::npos);
         changed.replace(at, 5, "\"a\":" + ms);
-        BeatCodec codec;
-        const Result<RouterBeat> read = codec.decode(changed);
+        HeartbeatCodec codec;
+        const Result<RouterHeartbeat> read = codec.decode(changed);
         REQUIRE(read);
         return read.value().proofAge;
     };
--- a/test/LeaseKeeperTest.cpp
+++ b/test/LeaseManagerTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/LeaseKeeper.h"
+#include "Control/LeaseManager.h"
 #include "Base/Log.h"
 #include "Base/ManualClock.h"
 #include "StepTable.h"
@@ -16,24 +16,27 @@
 
 struct LeaseFixture
 {
-    std::unique_ptr<LeaseKeeper> keeper(const char *name, std::uint64_t seed, Duration margin = 2s)
+    std::unique_ptr<LeaseManager> makeManager(const char *name, std::uint64_t seed,
+                                              Duration margin = 2s)
     {
-        auto out = std::make_unique<LeaseKeeper>(LeaseKeeper::Options{.clock = clock,
-                                                                      .random = seededRandom(seed),
-                                                                      .table = table,
-                                                                      .key = "lease/test",
-                                                                      .self = name,
-                                                                      .margin = margin});
+        auto out =
+                std::make_unique<LeaseManager>(LeaseManager::Options{.clock = clock,
+                                                                     .random = seededRandom(seed),
+                                                                     .table = table,
+                                                                     .key = "lease/test",
+                                                                     .self = name,
+                                                                     .margin = margin});
         out->setWanted(true);
         return out;
     }
 
     /// Lets time pass in small steps, with every request meeting \a fate.
-    void pass(Duration time, std::initializer_list<LeaseKeeper *> awake, Fate fate = Fate::Answered)
+    void pass(Duration time, std::initializer_list<LeaseManager *> awake,
+              Fate fate = Fate::Answered)
     {
         for (Duration t{}; t < time; t += 500ms) {
             clock.advance(500ms);
-            for (LeaseKeeper *it : awake)
+            for (LeaseManager *it : awake)
                 it->poll();
             table.run(fate);
         }
@@ -41,20 +44,20 @@
 
     ManualClock clock;
     StepTable table;
-    std::unique_ptr<LeaseKeeper> a = keeper("a", 1);
-    std::unique_ptr<LeaseKeeper> b = keeper("b", 2);
+    std::unique_ptr<LeaseManager> a = makeManager("a", 1);
+    std::unique_ptr<LeaseManager> b = makeManager("b", 2);
 };
 
 /// Two holders under a random schedule of pauses, lost and late requests. Each acts whenever it may
 /// and the engine's side of the story is checked: numbers never fall and none has two holders.
-class RandomSchedule : LeaseFixture
+class RandomLeaseSchedule : LeaseFixture
 {
 public:
-    RandomSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
+    RandomLeaseSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
         : m_random(seededRandom(seed))
     {
-        a = keeper("a", 2 * seed, margin);
-        b = keeper("b", 2 * seed + 1, margin);
+        a = makeManager("a", 2 * seed, margin);
+        b = makeManager("b", 2 * seed + 1, margin);
         table.ignoresVersions = brokenTable;
     }
 
@@ -83,7 +86,7 @@
         else if (dice < 67)
             b->poll();
         else if (dice < 69)
-            table.landLate();
+            table.applyLate();
         else if (dice < 71)
             (below(m_random, 2) == 0 ? a : b)->setWanted(below(m_random, 4) != 0);
         else if (table.waiting() > 0)
@@ -97,7 +100,7 @@
         return below(m_random, 3) == 0 ? Faults[below(m_random, Faults.size())] : Fate::Answered;
     }
 
-    void act(int who, const LeaseKeeper &holder, int &acts)
+    void act(int who, const LeaseManager &holder, int &acts)
     {
         const auto fence = holder.fence();
         if (!fence)
@@ -114,12 +117,12 @@
     int m_last = -1;
 };
 
-int unsafeSchedules(Duration margin, bool brokenTable, int &acts)
+int countUnsafeSchedules(Duration margin, bool brokenTable, int &acts)
 {
     Log::setLevel(LogLevel::Error);
     int out = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed)
-        out += RandomSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
+        out += RandomLeaseSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
     Log::setLevel(LogLevel::Info);
     return out;
 }
@@ -191,7 +194,7 @@
 TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isNotTheOldHolder")
 {
     pass(10s, {a.get()});
-    a = keeper("a", 77);
+    a = makeManager("a", 77);
     pass(20s, {a.get()});
     CHECK_FALSE(a->fence());
     pass(40s, {a.get()});
@@ -207,7 +210,7 @@
     table.step(0, Fate::Late);
     a->setWanted(true);
     CHECK_FALSE(a->fence());
-    table.landLate();
+    table.applyLate();
     pass(16s, {b.get()});
     CHECK(b->fence() == 2u);
     CHECK_FALSE(a->fence());
@@ -216,13 +219,13 @@
 TEST_CASE("lease_randomSchedules_neverTwoHoldersNorFallingNumbers")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(2s, false, acts) == 0);
+    CHECK(countUnsafeSchedules(2s, false, acts) == 0);
     CHECK(acts > 10'000); // Else the schedules would prove nothing.
 }
 
 TEST_CASE("lease_rulesBrokenOnPurpose_areCaughtByTheSameSchedules")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(-30s, false, acts) > 0); // Acts on after the end.
-    CHECK(unsafeSchedules(2s, true, acts) > 0); // A compare-and-set that does not compare.
+    CHECK(countUnsafeSchedules(-30s, false, acts) > 0); // Acts on after the end.
+    CHECK(countUnsafeSchedules(2s, true, acts) > 0); // A compare-and-set that does not compare.
 }
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -31,7 +31,7 @@
     }
 };
 
-Member news(MemberState state, std::uint64_t incarnation)
+Member update(MemberState state, std::uint64_t incarnation)
 {
     return {.name = "a", .state = state, .incarnation = incarnation};
 }
@@ -166,16 +166,16 @@
 
 TEST_CASE("overrides_newsInAnyOrder_isTotalOrder")
 {
-    CHECK(overrides(news(MemberState::Suspect, 1), news(MemberState::Alive, 1)));
-    CHECK(overrides(news(MemberState::Dead, 1), news(MemberState::Leaving, 1)));
-    CHECK(overrides(news(MemberState::Alive, 2), news(MemberState::Dead, 1)));
-    CHECK_FALSE(overrides(news(MemberState::Alive, 1), news(MemberState::Alive, 1)));
-    CHECK_FALSE(overrides(news(MemberState::Dead, 1), news(MemberState::Alive, 2)));
+    CHECK(overrides(update(MemberState::Suspect, 1), update(MemberState::Alive, 1)));
+    CHECK(overrides(update(MemberState::Dead, 1), update(MemberState::Leaving, 1)));
+    CHECK(overrides(update(MemberState::Alive, 2), update(MemberState::Dead, 1)));
+    CHECK_FALSE(overrides(update(MemberState::Alive, 1), update(MemberState::Alive, 1)));
+    CHECK_FALSE(overrides(update(MemberState::Dead, 1), update(MemberState::Alive, 2)));
 }
 
 TEST_CASE("newsQueue_moreNewsThanRoom_sendsEachABoundedNumberOfTimes")
 {
-    NewsQueue queue;
+    MemberUpdateQueue queue;
     for (int i = 0; i < 10; ++i)
         queue.add({.name = std::to_string(i), .incarnation = 1});
     std::map<std::string, int> sent;
@@ -206,9 +206,9 @@
 {
     const ManualClock clock;
     Member it;
-    CHECK_FALSE(it.heardWithin(std::chrono::seconds(5), clock.now()));
-    it.heardAt = clock.now() - std::chrono::seconds(4);
-    CHECK(it.heardWithin(std::chrono::seconds(5), clock.now()));
-    it.heardAt = clock.now() - std::chrono::seconds(5);
-    CHECK_FALSE(it.heardWithin(std::chrono::seconds(5), clock.now()));
+    CHECK_FALSE(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
+    it.loadReceivedAt = clock.now() - std::chrono::seconds(4);
+    CHECK(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
+    it.loadReceivedAt = clock.now() - std::chrono::seconds(5);
+    CHECK_FALSE(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
 }
--- a/test/OrderControllerTest.cpp
+++ b/test/OrderControllerTest.cpp
@@ -56,7 +56,7 @@
                 .engines = engines,
                 .metrics = metrics,
                 .self = fmt::format("router-{}", i),
-                .isFirst = [it = wanted.back().get()](std::uint64_t) { return *it; }}));
+                .isPrimaryFor = [it = wanted.back().get()](std::uint64_t) { return *it; }}));
         return *routers.back();
     }
 
--- a/test/PeerCatchUpTest.cpp
+++ b/test/PeerCatchUpTest.cpp
@@ -9,62 +9,62 @@
 
 struct PeerCatchUpFixture
 {
-    RouterBeat beat{
+    RouterHeartbeat heartbeat{
             .name = "a", .revision = 4, .proofAge = 100ms, .replicasHash = 7, .replicasVersion = 9};
     PeerCatchUp::Known own{
             .revision = 4, .proofAge = 100ms, .replicasHash = 7, .replicasVersion = 9};
-    PeerCatchUp catchUp{{.configLimit = 2s}};
+    PeerCatchUp catchUp{{.configApplyLimit = 2s}};
 };
 
 } // namespace
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_routerThatHasStarted_asksWhichPromptsAreKept")
 {
-    CHECK(catchUp.isWorthAsking(beat, own));
-    catchUp.promptsTold(true);
-    CHECK_FALSE(catchUp.isWorthAsking(beat, own));
+    CHECK(catchUp.shouldFetchFrom(heartbeat, own));
+    catchUp.promptsReceived(true);
+    CHECK_FALSE(catchUp.shouldFetchFrom(heartbeat, own));
 }
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peersKnowNoPrompts_asksAreBounded")
 {
     int asks = 0;
-    while (asks < 100 && catchUp.isWorthAsking(beat, own)) {
-        catchUp.promptsTold(false);
+    while (asks < 100 && catchUp.shouldFetchFrom(heartbeat, own)) {
+        catchUp.promptsReceived(false);
         ++asks;
     }
     CHECK(asks == 3);
-    CHECK_FALSE(catchUp.wantsPrompts());
+    CHECK_FALSE(catchUp.needsPrompts());
 }
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peerWithNewerState_isAsked")
 {
-    catchUp.promptsTold(true);
-    RouterBeat newer = beat;
+    catchUp.promptsReceived(true);
+    RouterHeartbeat newer = heartbeat;
     newer.revision = 5;
-    CHECK(catchUp.isWorthAsking(newer, own));
-    newer = beat;
+    CHECK(catchUp.shouldFetchFrom(newer, own));
+    newer = heartbeat;
     newer.replicasHash = 8;
-    CHECK_FALSE(catchUp.isWorthAsking(newer, own));
+    CHECK_FALSE(catchUp.shouldFetchFrom(newer, own));
     newer.replicasVersion = 10;
-    CHECK(catchUp.isWorthAsking(newer, own));
+    CHECK(catchUp.shouldFetchFrom(newer, own));
 }
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_ownProofOld_onlyFreshPeersAreAsked")
 {
-    catchUp.promptsTold(true);
+    catchUp.promptsReceived(true);
     own.proofAge = 2600ms;
-    CHECK(catchUp.isWorthAsking(beat, own));
-    beat.proofAge = 1100ms;
-    CHECK_FALSE(catchUp.isWorthAsking(beat, own));
+    CHECK(catchUp.shouldFetchFrom(heartbeat, own));
+    heartbeat.proofAge = 1100ms;
+    CHECK_FALSE(catchUp.shouldFetchFrom(heartbeat, own));
     CHECK(catchUp.maxPeerProofAge() == 2s);
 }
 
 TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigLimit_proofsMayBeOlder")
 {
-    PeerCatchUp patient({.configLimit = 4s});
-    patient.promptsTold(true);
+    PeerCatchUp patient({.configApplyLimit = 4s});
+    patient.promptsReceived(true);
     own.proofAge = 2600ms;
-    CHECK_FALSE(patient.isWorthAsking(beat, own));
+    CHECK_FALSE(patient.shouldFetchFrom(heartbeat, own));
     own.proofAge = 5100ms;
-    CHECK(patient.isWorthAsking(beat, own));
+    CHECK(patient.shouldFetchFrom(heartbeat, own));
 }
--- a/test/PeerGuardTest.cpp
+++ b/test/PeerGuardTest.cpp
@@ -40,12 +40,12 @@
                    .listHash = 0xFFFF'FFFF'FFFF'FFFF,
                    .load = 12,
                    .digest = {.revision = 9, .hash = 0x8000'0000'0000'0001},
-                   .news = {{.name = "d",
-                             .callerAddress = "10.0.0.2:80",
-                             .peerAddress = "10.0.0.2:81",
-                             .failureDomain = "sofia-a",
-                             .state = MemberState::Leaving,
-                             .incarnation = 3}},
+                   .updates = {{.name = "d",
+                                .callerAddress = "10.0.0.2:80",
+                                .peerAddress = "10.0.0.2:81",
+                                .failureDomain = "sofia-a",
+                                .state = MemberState::Leaving,
+                                .incarnation = 3}},
                    .base = {.revision = 8, .hash = 5},
                    .delta = {{.at = 3, .removed = 1, .inserted = "line \"\xC3\xA9\"\n"}}};
     const PeerGuard::Opened out = b.open(a.seal(it));
@@ -54,9 +54,9 @@
     CHECK(out.message.digest.hash == it.digest.hash);
     CHECK(out.message.base.revision == 8);
     CHECK(out.message.targetAddress == it.targetAddress);
-    REQUIRE(out.message.news.size() == 1);
-    CHECK(out.message.news[0].state == MemberState::Leaving);
-    CHECK(out.message.news[0].failureDomain == "sofia-a");
+    REQUIRE(out.message.updates.size() == 1);
+    CHECK(out.message.updates[0].state == MemberState::Leaving);
+    CHECK(out.message.updates[0].failureDomain == "sofia-a");
     REQUIRE(out.message.delta.size() == 1);
     CHECK(out.message.delta[0].inserted == it.delta[0].inserted);
 }
--- a/test/PeerStateTest.cpp
+++ b/test/PeerStateTest.cpp
@@ -1,6 +1,6 @@
 #include "Control/PeerState.h"
 #include "Base/Compression.h"
-#include "Control/ConfigTexts.h"
+#include "Control/ConfigTextCache.h"
 
 #include <doctest/doctest.h>
 
@@ -102,7 +102,7 @@
     const std::string before = configText(1450);
     std::string after = before;
     after.replace(after.find("12000", after.size() / 2), 5, "9000");
-    ConfigTexts texts;
+    ConfigTextCache texts;
     texts.add(7, before);
     texts.add(9, after);
     texts.describe(7, state);
@@ -110,20 +110,20 @@
     CHECK(state.encode().size() < 800);
     const Result<PeerState> read = PeerState::decode(state.encode());
     REQUIRE(read);
-    CHECK(ConfigTexts::textIn(read.value(), before).value() == after);
-    CHECK_FALSE(ConfigTexts::textIn(read.value(), "{}"));
+    CHECK(ConfigTextCache::unpackText(read.value(), before).value() == after);
+    CHECK_FALSE(ConfigTextCache::unpackText(read.value(), "{}"));
 }
 
 TEST_CASE_FIXTURE(PeerStateFixture, "configTexts_routerWithAnUnknownRevision_getsTheWhole")
 {
-    ConfigTexts texts;
+    ConfigTextCache texts;
     texts.describe(0, state);
     CHECK_FALSE(state.config);
     texts.add(7, "{\"a\":{}}");
     texts.add(9, "{\"a\":{\"b\":{}}}");
     texts.describe(3, state);
     CHECK(state.configBase == 0);
-    CHECK(ConfigTexts::textIn(state, "").value() == "{\"a\":{\"b\":{}}}");
+    CHECK(ConfigTextCache::unpackText(state, "").value() == "{\"a\":{\"b\":{}}}");
     PeerState newest;
     texts.describe(9, newest);
     CHECK_FALSE(newest.config);
@@ -131,7 +131,7 @@
 
 TEST_CASE("configTexts_manyLargeTexts_keepABoundedAmount")
 {
-    ConfigTexts texts;
+    ConfigTextCache texts;
     for (std::uint64_t revision = 1; revision <= 40; ++revision)
         texts.add(revision, std::string(600'000, static_cast<char>('a' + revision % 20)));
     PeerState state;
--- a/test/PlatformCodecTest.cpp
+++ b/test/PlatformCodecTest.cpp
@@ -71,7 +71,7 @@
                                                   {"X-Token-Usage", "1460, 80"},
                                                   {"X-Prompt-Prefix", "5c1e:800, 91bd:410"}});
     CHECK(it.id == "r1");
-    CHECK(it.patience == 1500ms);
+    CHECK(it.callerTimeout == 1500ms);
     CHECK(it.key == "secret");
     CHECK(it.lastEventId == 12);
     CHECK(it.promptTokens == 1460);
@@ -87,7 +87,7 @@
                                                   {"Authorization", "Basic eA=="},
                                                   {"Last-Event-Id", "x"},
                                                   {"X-Prompt-Prefix", ",,zz:q,"}});
-    CHECK_FALSE(it.patience);
+    CHECK_FALSE(it.callerTimeout);
     CHECK(it.key.empty());
     CHECK_FALSE(it.lastEventId);
     for (const PromptPart &part : it.prompt)
@@ -149,14 +149,14 @@
 
 TEST_CASE("enginePrompts_listOfAnEngine_isDecodedAndMalformedOnesAreRefused")
 {
-    const auto read = platform::promptsIn(
+    const auto read = platform::decodePromptList(
             R"({"epoch":1,"next":5,"held":[["","5c1e",800,"m"],["","91bd",410,"m"]]})");
     REQUIRE(read);
     REQUIRE(read.value().size() == 2);
     CHECK(read.value()[0].id == 0x5c1e);
     CHECK(read.value()[1].tokens == 410);
-    CHECK_FALSE(platform::promptsIn("no json"));
-    CHECK_FALSE(platform::promptsIn(R"({"held":[[1,{}]]})"));
+    CHECK_FALSE(platform::decodePromptList("no json"));
+    CHECK_FALSE(platform::decodePromptList(R"({"held":[[1,{}]]})"));
 }
 
 TEST_CASE("requestCodec_loadOfAReplica_isDecodedIfComplete")
--- a/test/PromptPaceTest.cpp
+++ b/test/PrefillTimeoutTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/PromptPace.h"
+#include "Decide/PrefillTimeout.h"
 
 #include <doctest/doctest.h>
 
@@ -22,37 +22,37 @@
             pace.observe(tokens, reading(tokens, slowdown));
     }
 
-    PromptPace pace;
+    PrefillTimeout pace;
 };
 
 } // namespace
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_nothingRead_longPromptsHaveTime")
 {
-    CHECK(pace.allowance(30'000) > reading(30'000, 2));
-    CHECK(pace.allowance(0) == Duration::zero());
-    CHECK(pace.allowance(-5) == Duration::zero());
+    CHECK(pace.timeoutFor(30'000) > reading(30'000, 2));
+    CHECK(pace.timeoutFor(0) == Duration::zero());
+    CHECK(pace.timeoutFor(-5) == Duration::zero());
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_enginesLearned_busyOneIsWaitedForAndSilentOneNot")
 {
     read(50, 10'000, 1.2);
-    CHECK(pace.allowance(30'000) > reading(30'000, 2.4));
-    CHECK(pace.allowance(30'000) < reading(30'000, 5));
-    CHECK(pace.allowance(700) < 100ms);
+    CHECK(pace.timeoutFor(30'000) > reading(30'000, 2.4));
+    CHECK(pace.timeoutFor(30'000) < reading(30'000, 5));
+    CHECK(pace.timeoutFor(700) < 100ms);
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_shortPrompts_teachNothing")
 {
-    const Duration before = pace.allowance(10'000);
+    const Duration before = pace.timeoutFor(10'000);
     for (int i = 0; i < 100; ++i)
         pace.observe(100, 900ms);
-    CHECK(pace.allowance(10'000) == before);
+    CHECK(pace.timeoutFor(10'000) == before);
 }
 
 TEST_CASE_FIXTURE(PromptPaceFixture, "promptPace_onePromptStuck_othersAreNotWaitedForMuchLonger")
 {
     read(50, 10'000);
     pace.observe(1000, 60s);
-    CHECK(pace.allowance(10'000) < 2s);
+    CHECK(pace.timeoutFor(10'000) < 2s);
 }
--- a/test/PromptSurveyTest.cpp
+++ b/test/PromptDiscoveryTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/PromptSurvey.h"
+#include "Control/PromptDiscovery.h"
 #include "Base/ManualClock.h"
 
 #include <doctest/doctest.h>
@@ -37,8 +37,8 @@
 
     void add(std::size_t i)
     {
-        routers.push_back(std::make_unique<PromptSurvey>(
-                PromptSurvey::Options{.clock = clock, .self = registered[i].peerAddress}));
+        routers.push_back(std::make_unique<PromptDiscovery>(
+                PromptDiscovery::Options{.clock = clock, .self = registered[i].peerAddress}));
         byAddress[registered[i].peerAddress] = routers.back().get();
     }
 
@@ -56,15 +56,15 @@
         for (const auto &it : routers) {
             for (const ReplicaRecord &engine : it->due(engines)) {
                 ++lists[engine.id];
-                it->listed(engine.incarnation());
-                for (const std::string &address : it->toBeTold(engine.incarnation()))
+                it->discovered(engine.incarnation());
+                for (const std::string &address : it->receiversFor(engine.incarnation()))
                     told.emplace_back(engine.incarnation(), address);
             }
         }
         for (const auto &[engine, address] : told) {
             const auto router = byAddress.find(address);
             if (router != byAddress.end())
-                router->second->listed(engine);
+                router->second->discovered(engine);
         }
     }
 
@@ -79,8 +79,8 @@
     ManualClock clock;
     std::vector<RegisteredRouter> registered;
     std::vector<ReplicaRecord> engines;
-    std::vector<std::unique_ptr<PromptSurvey>> routers;
-    std::map<std::string, PromptSurvey *> byAddress;
+    std::vector<std::unique_ptr<PromptDiscovery>> routers;
+    std::map<std::string, PromptDiscovery *> byAddress;
     std::map<std::string, int> lists; ///< How often each engine was asked.
 };
 
@@ -96,7 +96,7 @@
         poll();
     }
     CHECK(listCount() == static_cast<int>(engines.size()));
-    CHECK(routers.front()->isOver());
+    CHECK(routers.front()->isFinished());
 }
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_routersGoneForGood_nextOnesAskForThem")
@@ -116,7 +116,7 @@
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_oneRouterReplaced_asksForItsShareOnly")
 {
     start(8);
-    routers.front()->peerKnows();
+    routers.front()->peerStateReceived();
     for (int i = 0; i < 20; ++i) {
         poll();
         clock.advance(50ms);
@@ -126,7 +126,7 @@
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_routersNotYetListed_asksNobody")
 {
-    PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
+    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
     for (int i = 0; i < 40; ++i) {
         CHECK(survey.due(engines).empty());
         clock.advance(50ms);
@@ -140,7 +140,7 @@
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_onlyRouter_asksAllEngines")
 {
-    PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
+    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
     survey.setRouters({});
     CHECK(survey.due(engines).size() == engines.size());
 }
@@ -161,25 +161,25 @@
         it.poll();
         it.clock.advance(100ms);
     }
-    CHECK(it.routers.front()->toBeTold("i-0").size() == 78);
+    CHECK(it.routers.front()->receiversFor("i-0").size() == 78);
     CHECK(it.lists.size() == it.engines.size());
     CHECK(it.listCount() <= 2 * static_cast<int>(it.engines.size()));
 }
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_manyEngines_theLargestPartsAreTold")
 {
-    const PromptSurvey survey({.clock = clock, .self = "a:2", .maxTold = 100});
-    const std::vector<PromptPart> kept{{1, 10}, {2, 800}, {3, 30}, {4, 900}};
-    CHECK(survey.toTell(kept, 50) == std::vector<std::uint64_t>{4, 2});
-    CHECK(survey.toTell(kept, 2) == std::vector<std::uint64_t>{4, 2, 3, 1});
+    const PromptDiscovery survey({.clock = clock, .self = "a:2", .maxAnnouncedParts = 100});
+    const std::vector<PromptPart> cached{{1, 10}, {2, 800}, {3, 30}, {4, 900}};
+    CHECK(survey.partsToAnnounce(cached, 50) == std::vector<std::uint64_t>{4, 2});
+    CHECK(survey.partsToAnnounce(cached, 2) == std::vector<std::uint64_t>{4, 2, 3, 1});
 }
 
 TEST_CASE_FIXTURE(PromptSurveyFixture, "promptSurvey_noEngines_neverBegins")
 {
-    PromptSurvey survey({.clock = clock, .self = registered.front().peerAddress});
+    PromptDiscovery survey({.clock = clock, .self = registered.front().peerAddress});
     survey.setRouters(others(0));
     CHECK(survey.due({}).empty());
     clock.advance(10s);
-    CHECK_FALSE(survey.isOver());
+    CHECK_FALSE(survey.isFinished());
     CHECK(survey.due({}).empty());
 }
--- a/test/PromptNewsTest.cpp
+++ b/test/PromptUpdatesTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/PromptNews.h"
+#include "Control/PromptUpdates.h"
 #include "Base/ManualClock.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 struct PromptNewsFixture
 {
     ManualClock clock;
-    PromptNews news{clock};
+    PromptUpdates news{clock};
     std::array<PromptPart, 2> prompt = {{{1, 100}, {2, 200}}};
 };
 
--- a/test/ReplicaEntryTest.cpp
+++ b/test/ReplicaEntryTest.cpp
@@ -115,15 +115,15 @@
     entry["born"] = Json::Int64(1'700'000'001'234);
     entry["cold-remaining-ms"] = 2500.5;
     const ReplicaRecord sent = decode().value();
-    const Result<ReplicaUpdate> told = ReplicaUpdate::decode(
+    const Result<ReplicaUpdate> decoded = ReplicaUpdate::decode(
             ReplicaUpdate{.base = 7, .storeVersion = 9, .removed = {"i-2"}, .replicas = {sent}}
                     .encode());
-    REQUIRE(told);
-    CHECK(told.value().base == 7);
-    CHECK(told.value().storeVersion == 9);
-    CHECK(told.value().removed == std::vector<std::string>{"i-2"});
-    REQUIRE(told.value().replicas.size() == 1);
-    const ReplicaRecord &read = told.value().replicas.front();
+    REQUIRE(decoded);
+    CHECK(decoded.value().base == 7);
+    CHECK(decoded.value().storeVersion == 9);
+    CHECK(decoded.value().removed == std::vector<std::string>{"i-2"});
+    REQUIRE(decoded.value().replicas.size() == 1);
+    const ReplicaRecord &read = decoded.value().replicas.front();
     CHECK(sent.coldFor == 2500500us);
     CHECK(read.coldFor == 2501ms); // Rounded up, so that a replica never counts as warm too early.
     CHECK(read.incarnation() == sent.incarnation());
--- a/test/ReplicaPoolTest.cpp
+++ b/test/ReplicaPoolTest.cpp
@@ -59,18 +59,19 @@
     }
 
     /// Lets the routers tell each other, as they do four times a second.
-    void beat()
+    void exchangeHeartbeats()
     {
         for (std::size_t i = 0; i < pools.size(); ++i) {
             for (std::size_t j = 0; j < pools.size(); ++j) {
                 if (i == j)
                     continue;
-                pools[j]->setNews(fmt::format("r{}", i), pools[i]->ownNews(), clock.now());
-                for (const auto &[id, parts] : told[i])
+                pools[j]->applyStatusUpdate(fmt::format("r{}", i), pools[i]->ownStatusUpdate(),
+                                            clock.now());
+                for (const auto &[id, parts] : unannouncedPrompts[i])
                     pools[j]->notePrompt(id, parts);
             }
         }
-        for (auto &it : told)
+        for (auto &it : unannouncedPrompts)
             it.second.clear();
     }
 
@@ -85,8 +86,8 @@
             return {};
         std::string id = choice.replica->id;
         pools[router]->started(id, prompt);
-        told[router][id].push_back(1000U);
-        told[router][id].push_back(static_cast<std::uint64_t>(chat));
+        unannouncedPrompts[router][id].push_back(1000U);
+        unannouncedPrompts[router][id].push_back(static_cast<std::uint64_t>(chat));
         running.push_back({clock.now() + length, router, id});
         ++load[id];
         double mean = 0;
@@ -127,7 +128,7 @@
             place(pick());
             advance(Duration(1s) / perSecond);
             if (i % std::max(1, perSecond / 4) == 0)
-                beat();
+                exchangeHeartbeats();
         }
     }
 
@@ -142,7 +143,7 @@
     RandomSource random = seededRandom(7);
     std::vector<ReplicaRecord> engines;
     std::vector<std::unique_ptr<ReplicaPool>> pools;
-    std::map<std::size_t, std::map<std::string, std::vector<std::uint64_t>>> told;
+    std::map<std::size_t, std::map<std::string, std::vector<std::uint64_t>>> unannouncedPrompts;
     std::deque<Run> running;
     std::map<std::string, int> load;
     std::map<std::string, std::set<int>> cache;
@@ -152,9 +153,9 @@
     int overBound = 0;
 };
 
-struct CallPoolFixture
+struct PlainServicePoolFixture
 {
-    CallPoolFixture()
+    PlainServicePoolFixture()
     {
         for (int i = 0; i < 4; ++i)
             list.push_back(replica(i, 6));
@@ -237,7 +238,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_calls_goWhereLeastIsInProgress")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_calls_goWhereLeastIsInProgress")
 {
     std::map<std::string, int> n;
     for (int i = 0; i < 24; ++i) {
@@ -249,22 +250,22 @@
         CHECK(it.second == 6);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_othersCounts_areRegardedUntilTheyAreOld")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_othersCounts_areRegardedUntilTheyAreOld")
 {
-    pool.setNews("r2", {.counts = {{"i-0", 5}, {"i-1", 5}, {"i-2", 5}}}, clock.now());
+    pool.applyStatusUpdate("r2", {.counts = {{"i-0", 5}, {"i-1", 5}, {"i-2", 5}}}, clock.now());
     CHECK(choose() == "i-3");
     CHECK(pool.inProgress("i-0") == 5);
     clock.advance(4s);
-    pool.setNews("r3", {}, clock.now());
+    pool.applyStatusUpdate("r3", {}, clock.now());
     CHECK(pool.inProgress("i-0") == 0);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_drainingExcludedOrLeftOut_isNotChosen")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_drainingExcludedOrLeftOut_isNotChosen")
 {
     list[0].draining = true;
     pool.setReplicas(list);
     excluded = {"i-1"};
-    pool.leaveOut("i-2", 1s);
+    pool.excludeFor("i-2", 1s);
     CHECK(choose() == "i-3");
     CHECK(pool.usableCount() == 2);
     clock.advance(2s);
@@ -272,7 +273,7 @@
     CHECK(choose() == "i-2");
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_allDraining_givesNone")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_allDraining_givesNone")
 {
     for (ReplicaRecord &it : list)
         it.draining = true;
@@ -280,7 +281,8 @@
     CHECK(pool.choose({}).replica == nullptr);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaFailsAgainAndAgain_isLeftAloneForAWhile")
+TEST_CASE_FIXTURE(PlainServicePoolFixture,
+                  "replicaPool_replicaFailsAgainAndAgain_isLeftAloneForAWhile")
 {
     for (int i = 0; i < 3; ++i) {
         pool.started("i-0");
@@ -290,7 +292,7 @@
         CHECK(choose() != "i-0");
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_replicaStays_keepsItsCounts")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_replicaStays_keepsItsCounts")
 {
     pool.started("i-1");
     list.push_back(replica(9, 6));
@@ -300,13 +302,13 @@
     CHECK(pool.inProgress("i-1") == 0);
 }
 
-TEST_CASE_FIXTURE(CallPoolFixture, "replicaPool_onlySomeAllowed_choosesAmongThem")
+TEST_CASE_FIXTURE(PlainServicePoolFixture, "replicaPool_onlySomeAllowed_choosesAmongThem")
 {
     const std::vector<std::string> only = {"i-2"};
     pool.started("i-2");
     pool.started("i-2");
     CHECK(pool.choose({.only = only}).replica->id == "i-2");
-    pool.leaveOut("i-2", 1s);
+    pool.excludeFor("i-2", 1s);
     CHECK(pool.choose({.only = only}).replica == nullptr);
 }
 
@@ -315,13 +317,13 @@
     run(10, 30, [&] { return static_cast<int>(random() % 25); });
     ReplicaPool fresh({.clock = clock, .random = seededRandom(99), .isEngine = true});
     fresh.setReplicas(engines);
-    CHECK(fresh.knowsNoPrompts());
+    CHECK(fresh.isPromptIndexEmpty());
     for (const auto &[id, parts] : pools[0]->prompts(300))
         fresh.notePrompt(id, parts);
     for (int chat = 0; chat < 25; ++chat) {
         const std::vector<PromptPart> prompt = {{1000U, 500},
                                                 {static_cast<std::uint64_t>(chat), 10'000}};
-        CHECK(fresh.choose({.prompt = prompt}).keptTokens == 10'500);
+        CHECK(fresh.choose({.prompt = prompt}).cachedPromptTokens == 10'500);
     }
 }
 
@@ -329,9 +331,9 @@
 
 /// 73 routers of which each sends four replicas a call a second in all, as the users' dispatch desk
 /// does; replica i-0 fails every call.
-struct CallFleetFixture
+struct FailingReplicaFixture
 {
-    CallFleetFixture()
+    FailingReplicaFixture()
     {
         for (std::size_t i = 0; i < Routers; ++i) {
             pools.push_back(std::make_unique<ReplicaPool>(
@@ -341,37 +343,38 @@
     }
 
     /// \returns how many calls fail in \a time. Each router tells \a fanout others at a time.
-    int failedCalls(Duration time, std::size_t fanout, bool repeatable)
+    int countFailedCalls(Duration time, std::size_t fanout, bool retryable)
     {
         int failed = 0;
         const TimePoint end = clock.now() + time;
         for (int step = 0; clock.now() < end; ++step, clock.advance(25ms)) {
             for (std::size_t i = 0; i < Routers; ++i) {
-                if (uniform(random) < 0.1 && !call(*pools[i], repeatable))
+                if (uniform(random) < 0.1 && !call(*pools[i], retryable))
                     ++failed;
                 if ((static_cast<std::size_t>(step) + i) % 10 == 0)
-                    tell(i, fanout);
+                    sendHeartbeat(i, fanout);
             }
         }
         return failed;
     }
 
-    bool call(ReplicaPool &pool, bool repeatable) const
+    bool call(ReplicaPool &pool, bool retryable) const
     {
-        const ReplicaPool::Choice choice = pool.choose({.repeatable = repeatable});
+        const ReplicaPool::Choice choice = pool.choose({.retryable = retryable});
         const std::string id = choice.replica->id;
-        const bool well = id != failing && uniform(random) >= failsAnywhere;
+        const bool well = id != failing && uniform(random) >= failureRate;
         pool.started(id);
         pool.finished(id, {.succeeded = well, .reason = Reason::UpstreamBroken, .total = 20ms});
         return well;
     }
 
-    void tell(std::size_t from, std::size_t fanout)
+    void sendHeartbeat(std::size_t from, std::size_t fanout)
     {
         for (std::size_t n = 0; n < fanout; ++n) {
             const std::size_t to = next[from]++ % Routers;
             if (to != from)
-                pools[to]->setNews(fmt::format("r{}", from), pools[from]->ownNews(), clock.now());
+                pools[to]->applyStatusUpdate(fmt::format("r{}", from),
+                                             pools[from]->ownStatusUpdate(), clock.now());
         }
     }
 
@@ -382,27 +385,27 @@
     std::vector<std::unique_ptr<ReplicaPool>> pools;
     std::array<std::size_t, Routers> next = {};
     std::string failing = "i-0";
-    double failsAnywhere = 0; ///< Part of the calls that no replica answers well.
+    double failureRate = 0; ///< Part of the calls that no replica answers well.
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaFailsAllCalls_routersTellEachOther")
+TEST_CASE_FIXTURE(FailingReplicaFixture, "replicaPool_replicaFailsAllCalls_routersTellEachOther")
 {
     // Each router alone needs three calls, one a second: some 220 are lost before all have found
     // out, and more when each tries whether it is well again.
-    const int alone = CallFleetFixture().failedCalls(8s, 0, false);
+    const int alone = FailingReplicaFixture().countFailedCalls(8s, 0, false);
     CHECK(alone > 190);
-    const int together = failedCalls(8s, 16, false);
+    const int together = countFailedCalls(8s, 16, false);
     MESSAGE("calls failed: alone ", alone, ", together ", together);
     CHECK(together < alone / 2);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_someCallsFailAnywhere_noReplicaIsAvoided")
+TEST_CASE_FIXTURE(FailingReplicaFixture, "replicaPool_someCallsFailAnywhere_noReplicaIsAvoided")
 {
     failing = "none";
-    failsAnywhere = 0.04;
-    failedCalls(20s, 16, false);
+    failureRate = 0.04;
+    countFailedCalls(20s, 16, false);
     std::map<std::string, int> used;
     for (int i = 0; i < 4000; ++i)
         ++used[pools[static_cast<std::size_t>(i) % Routers]->choose({}).replica->id];
@@ -410,11 +413,11 @@
         CHECK(used[it.id] > 800);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaIsWellAgain_allRoutersUseItAgain")
+TEST_CASE_FIXTURE(FailingReplicaFixture, "replicaPool_replicaIsWellAgain_allRoutersUseItAgain")
 {
-    failedCalls(8s, 16, false);
+    countFailedCalls(8s, 16, false);
     failing = "none";
-    CHECK(failedCalls(20s, 16, true) == 0);
+    CHECK(countFailedCalls(20s, 16, true) == 0);
     int used = 0;
     for (int i = 0; i < 400; ++i) {
         const auto choice = pools[static_cast<std::size_t>(i) % Routers]->choose({});
@@ -423,11 +426,11 @@
     CHECK(used > 60);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_ejectedElsewhere_ownGoodAnswerGoesFirst")
+TEST_CASE_FIXTURE(FailingReplicaFixture, "replicaPool_ejectedElsewhere_ownGoodAnswerGoesFirst")
 {
     ReplicaPool &pool = *pools[0];
     for (const char *router : {"r1", "r2", "r3"})
-        pool.setNews(router, {.ejected = {"i-0"}}, clock.now());
+        pool.applyStatusUpdate(router, {.ejected = {"i-0"}}, clock.now());
     for (int i = 0; i < 50; ++i)
         CHECK(pool.choose({}).replica->id != "i-0");
     // It answers here: only some callers are failed.
@@ -441,18 +444,19 @@
     CHECK(used > 20);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_mostEjectedElsewhere_newsIsNotBelieved")
+TEST_CASE_FIXTURE(FailingReplicaFixture, "replicaPool_mostEjectedElsewhere_newsIsNotBelieved")
 {
     ReplicaPool &pool = *pools[0];
     for (const char *router : {"r1", "r2", "r3"})
-        pool.setNews(router, {.ejected = {"i-0", "i-1", "i-2"}}, clock.now());
+        pool.applyStatusUpdate(router, {.ejected = {"i-0", "i-1", "i-2"}}, clock.now());
     std::set<std::string> used;
     for (int i = 0; i < 200; ++i)
         used.insert(pool.choose({}).replica->id);
     CHECK(used.size() == 4);
 }
 
-TEST_CASE_FIXTURE(CallFleetFixture, "replicaPool_replicaHalfOpen_callsThatMayNotBeRepeatedWait")
+TEST_CASE_FIXTURE(FailingReplicaFixture,
+                  "replicaPool_replicaHalfOpen_callsThatMayNotBeRepeatedWait")
 {
     ReplicaPool &pool = *pools[0];
     for (int i = 0; i < 3; ++i) {
@@ -461,10 +465,10 @@
     }
     clock.advance(6s);
     for (int i = 0; i < 50; ++i)
-        CHECK(pool.choose({.repeatable = false}).replica->id != "i-0");
+        CHECK(pool.choose({.retryable = false}).replica->id != "i-0");
     clock.advance(6s);
     const std::vector<std::string> others = {"i-1", "i-2", "i-3"};
-    CHECK(pool.choose({.excluded = others, .repeatable = false}).replica->id == "i-0");
+    CHECK(pool.choose({.excluded = others, .retryable = false}).replica->id == "i-0");
 }
 
 namespace {
@@ -472,9 +476,9 @@
 /// 73 routers and 140 engines, of which every fifth takes requests and never answers: the users'
 /// language models when a rack's links fail. A router sends each engine a request in twelve
 /// seconds.
-struct SilentEnginesFixture
+struct UnresponsiveEnginesFixture
 {
-    SilentEnginesFixture()
+    UnresponsiveEnginesFixture()
     {
         for (std::size_t i = 0; i < Routers; ++i) {
             pools.push_back(std::make_unique<ReplicaPool>(ReplicaPool::Options{
@@ -489,7 +493,7 @@
     }
 
     /// \returns how many requests of \a time go to engines that do not answer.
-    int unanswered(Duration time)
+    int countUnanswered(Duration time)
     {
         int out = 0;
         const TimePoint end = clock.now() + time;
@@ -498,7 +502,7 @@
                 out += send(*pools[random() % Routers]) ? 0 : 1;
             for (std::size_t i = 0; i < Routers; ++i) {
                 if ((static_cast<std::size_t>(step) + i) % 10 == 0)
-                    tell(i);
+                    sendHeartbeat(i);
             }
             while (!running.empty() && running.begin()->first <= clock.now()) {
                 running.begin()->second();
@@ -524,12 +528,13 @@
         return well;
     }
 
-    void tell(std::size_t from)
+    void sendHeartbeat(std::size_t from)
     {
         for (int n = 0; n < 16; ++n) {
             const std::size_t to = next[from]++ % Routers;
             if (to != from)
-                pools[to]->setNews(fmt::format("r{}", from), pools[from]->ownNews(), clock.now());
+                pools[to]->applyStatusUpdate(fmt::format("r{}", from),
+                                             pools[from]->ownStatusUpdate(), clock.now());
         }
     }
 
@@ -546,19 +551,20 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SilentEnginesFixture, "replicaPool_enginesFallSilent_fewRequestsAreSentThere")
+TEST_CASE_FIXTURE(UnresponsiveEnginesFixture,
+                  "replicaPool_enginesFallSilent_fewRequestsAreSentThere")
 {
     // 1,400 requests would be sent to them in 8 s; 210 before the first of them is overdue.
-    const int lost = unanswered(8s);
+    const int lost = countUnanswered(8s);
     MESSAGE("requests to silent engines: ", lost);
     CHECK(lost < 600);
 }
 
-TEST_CASE_FIXTURE(SilentEnginesFixture, "replicaPool_enginesAnswerAgain_areUsedAgain")
+TEST_CASE_FIXTURE(UnresponsiveEnginesFixture, "replicaPool_enginesAnswerAgain_areUsedAgain")
 {
-    unanswered(4s);
+    countUnanswered(4s);
     silent = false;
-    unanswered(25s);
+    countUnanswered(25s);
     std::map<std::string, int> used;
     for (int i = 0; i < 20'000; ++i) {
         const std::vector<PromptPart> prompt = {{random() % 2000 + 1, 1000}};
@@ -591,13 +597,13 @@
     again.startedAt += 4200;
     pool.setReplicas(std::vector{again, other});
     CHECK(pool.inProgress(again.incarnation()) == 0);
-    CHECK(pool.knowsNoPrompts());
+    CHECK(pool.isPromptIndexEmpty());
     pool.started(again.incarnation());
     // An attempt at the former start ends late.
     pool.finished(first.incarnation(), {.succeeded = false, .reason = Reason::UpstreamBroken});
     CHECK(pool.inProgress(again.incarnation()) == 1);
     const ReplicaPool::Choice choice = pool.choose({.prompt = prompt});
-    CHECK(choice.keptTokens == 0);
+    CHECK(choice.cachedPromptTokens == 0);
     CHECK(choice.copyFrom == nullptr);
 }
 
@@ -607,14 +613,14 @@
     ManualClock clock;
     ReplicaPool pool({.clock = clock, .random = seededRandom(1)});
     pool.setReplicas(replicas(2));
-    pool.leaveOut("i-0", 4s);
-    pool.leaveOut("i-0", 100ms);
-    CHECK(pool.untilReturn() == Duration::zero());
+    pool.excludeFor("i-0", 4s);
+    pool.excludeFor("i-0", 100ms);
+    CHECK(pool.timeUntilAvailable() == Duration::zero());
     pool.setReplicas(std::vector{replica(1)});
     clock.advance(1s);
     pool.setReplicas(replicas(2));
-    pool.leaveOut("i-1", 5s);
-    CHECK(pool.untilReturn() == Duration(3s));
+    pool.excludeFor("i-1", 5s);
+    CHECK(pool.timeUntilAvailable() == Duration(3s));
     CHECK(pool.choose({}).replica == nullptr);
     clock.advance(3s);
     REQUIRE(pool.choose({}).replica);
--- a/test/ReplicaRegistryTest.cpp
+++ b/test/ReplicaRegistryTest.cpp
@@ -56,7 +56,7 @@
 {
     a.sequence = 7;
     read({a, b});
-    registry.noteLeaving("a", Source::Answer);
+    registry.markLeaving("a", Source::Answer);
     CHECK(names() == "a! b ");
     a.sequence = 9;
     read({a, b});
@@ -70,7 +70,7 @@
     }
     SUBCASE("it is told before the entry is known")
     {
-        registry.noteLeaving("c", Source::Answer);
+        registry.markLeaving("c", Source::Answer);
         read({a, b, {.id = "c", .service = "s"}});
         CHECK(names() == "a! b c! ");
     }
@@ -85,19 +85,19 @@
     {
         a.startedAt = 1'700'000'000'000;
         read({a, b});
-        registry.noteLeaving(a.incarnation(), Source::Answer);
+        registry.markLeaving(a.incarnation(), Source::Answer);
         a.startedAt += 5000;
     }
     SUBCASE("its count starts anew")
     {
         read({a, b});
-        registry.noteLeaving("a", Source::Answer);
+        registry.markLeaving("a", Source::Answer);
         a.sequence = 1;
     }
     SUBCASE("it is at another address")
     {
         read({a, b});
-        registry.noteLeaving("a", Source::Answer);
+        registry.markLeaving("a", Source::Answer);
         a.address = "10.0.0.2:80";
     }
     read({a, b});
@@ -109,11 +109,11 @@
 {
     a.address = b.address = "10.0.0.1:80";
     read({a, b});
-    registry.noteLeavingAt("10.0.0.1:80", "a");
+    registry.markLeavingAt("10.0.0.1:80", "a");
     CHECK(names() == "a b! ");
-    CHECK(registry.toldLeaving(10s, 8) == std::vector<std::string>{"b"});
+    CHECK(registry.recentlyLeaving(10s, 8) == std::vector<std::string>{"b"});
     clock.advance(11s);
-    CHECK(registry.toldLeaving(10s, 8).empty());
+    CHECK(registry.recentlyLeaving(10s, 8).empty());
 }
 
 TEST_CASE_FIXTURE(ReplicaRegistryFixture, "replicaRegistry_olderSnapshot_isIgnored")
--- a/test/RequestQuarantineTest.cpp
+++ b/test/RequestQuarantineTest.cpp
@@ -1,7 +1,7 @@
 #include "Decide/RequestQuarantine.h"
 #include "Base/Hash.h"
 #include "Base/ManualClock.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 
 #include <doctest/doctest.h>
 
@@ -43,19 +43,19 @@
     }
 
     /// Every router tells all others once, over the wire format.
-    void tell()
+    void exchangeUpdates()
     {
         for (const auto &from : routers) {
-            std::vector<CrashNews> news = from->takeNews();
-            for (CrashNews &it : from->takeFirstEnds())
-                news.push_back(std::move(it));
-            const std::string text = BeatCodec::encode({.name = "r", .crashes = news});
+            std::vector<CrashUpdate> updates = from->takeUpdates();
+            for (CrashUpdate &it : from->takeFirstCrashes())
+                updates.push_back(std::move(it));
+            const std::string text = HeartbeatCodec::encode({.name = "r", .crashes = updates});
             bytes = std::max(bytes, text.size());
-            const Result<RouterBeat> beat = codec.decode(text);
-            REQUIRE(beat);
+            const Result<RouterHeartbeat> heartbeat = codec.decode(text);
+            REQUIRE(heartbeat);
             for (const auto &to : routers) {
                 if (to != from)
-                    to->merge(beat.value().crashes);
+                    to->merge(heartbeat.value().crashes);
             }
         }
     }
@@ -64,9 +64,9 @@
     void end(std::size_t i, std::initializer_list<std::string> requests,
              const std::string &software = Old.front())
     {
-        const std::string replica = fmt::format("i-{}", ++ended);
+        const std::string replica = fmt::format("i-{}", ++crashedCount);
         for (const std::string &it : requests)
-            routers[i]->replicaEnded(it, replica, software);
+            routers[i]->replicaCrashed(it, replica, software);
     }
 
     std::size_t heldBy(const std::string &request, const std::vector<std::string> &software = Old)
@@ -78,10 +78,10 @@
     }
 
     ManualClock clock;
-    BeatCodec codec;
+    HeartbeatCodec codec;
     std::vector<std::unique_ptr<RequestQuarantine>> routers;
     std::size_t bytes = 0; ///< Of the longest message so far.
-    int ended = 0;
+    int crashedCount = 0;
 };
 
 } // namespace
@@ -92,7 +92,7 @@
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(heldBy(Fatal) == 0);
         end(i, {Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Fatal) == 4);
@@ -108,11 +108,11 @@
 {
     for (int i = 0; i < 20; ++i) {
         end(static_cast<std::size_t>(i) % 4, {Innocent});
-        tell();
+        exchangeUpdates();
         clock.advance(600ms);
         CHECK(heldBy(Innocent) == 0);
         routers[static_cast<std::size_t>(i + 1) % 4]->completed(Innocent);
-        tell();
+        exchangeUpdates();
         clock.advance(600ms);
     }
 }
@@ -125,7 +125,7 @@
         end(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
         clock.advance(5ms);
     }
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
 }
@@ -136,13 +136,13 @@
 {
     for (std::size_t i = 0; i < 3; ++i) {
         end(i, {Innocent, Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
     end(3, {Fatal});
-    tell();
+    exchangeUpdates();
     clock.advance(200ms);
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 4);
@@ -154,15 +154,15 @@
 {
     for (int i = 0; i < 3; ++i) {
         end(0, {Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
     clock.advance(1min);
-    tell();
+    exchangeUpdates();
     addRouter();
     CHECK(heldBy(Fatal) == 4);
     clock.advance(2s);
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Fatal) == 5);
 }
 
@@ -171,10 +171,10 @@
 {
     for (int i = 0; i < 3; ++i) {
         end(0, {Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
-    clock.advance(RequestQuarantine::HoldTime - 2s);
+    clock.advance(RequestQuarantine::MinHoldTime - 2s);
     int trials = 0;
     for (int i = 0; i < 200; ++i) {
         for (std::size_t k = 0; k < routers.size(); ++k) {
@@ -182,7 +182,7 @@
                 continue;
             ++trials;
             end(k, {Fatal});
-            tell();
+            exchangeUpdates();
         }
         clock.advance(100ms);
     }
@@ -194,7 +194,7 @@
 {
     for (int i = 0; i < 3; ++i) {
         end(0, {Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
     const std::vector<std::string> both = {Old.front(), New.front()};
@@ -209,7 +209,7 @@
     }
     REQUIRE(admitting < routers.size());
     routers[admitting]->completed(Fatal);
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Fatal, New) == 0);
     CHECK(heldBy(Fatal, Old) == 0);
 }
@@ -218,7 +218,7 @@
 {
     for (int i = 0; i < 3; ++i) {
         end(0, {Fatal});
-        tell();
+        exchangeUpdates();
         clock.advance(400ms);
     }
     int trials = 0;
@@ -228,7 +228,7 @@
                 continue;
             ++trials;
             end(k, {Fatal}, New.front());
-            tell();
+            exchangeUpdates();
         }
         clock.advance(100ms);
     }
@@ -247,7 +247,7 @@
         fleet.end(0, {fmt::format("suspect-{:016}", i)});
     CHECK(fleet.routers[0]->size() <= 4096);
     for (int i = 0; i < 100; ++i) {
-        fleet.tell();
+        fleet.exchangeUpdates();
         fleet.clock.advance(400ms);
     }
     CHECK(fleet.bytes < 8000); // 64 first ends, which go in several messages.
@@ -260,7 +260,7 @@
     static constexpr std::size_t Routers = 890;
     static constexpr std::size_t Fanout = 26; ///< Of a beat.
     static constexpr std::size_t UrgentFanout = 78;
-    static constexpr std::size_t Keepers = 8;
+    static constexpr std::size_t Holders = 8;
 
     LargeFleetFixture() : QuarantineFleetFixture(Routers)
     {
@@ -269,28 +269,28 @@
             next.push_back(below(random, Routers));
     }
 
-    void send(std::size_t to, const std::vector<CrashNews> &news)
+    void send(std::size_t to, const std::vector<CrashUpdate> &updates)
     {
         ++messages;
-        routers[to % Routers]->merge(news);
+        routers[to % Routers]->merge(updates);
     }
 
-    void tellFrom(std::size_t i, std::size_t n)
+    void announceFrom(std::size_t i, std::size_t n)
     {
-        const std::vector<CrashNews> news = routers[i]->takeNews();
-        for (std::size_t k = 0; !news.empty() && k < n; ++k)
-            send(next[i] + k, news);
+        const std::vector<CrashUpdate> updates = routers[i]->takeUpdates();
+        for (std::size_t k = 0; !updates.empty() && k < n; ++k)
+            send(next[i] + k, updates);
         next[i] += n;
-        for (const CrashNews &it : routers[i]->takeFirstEnds()) {
-            for (std::size_t k = 0; k < Keepers; ++k)
+        for (const CrashUpdate &it : routers[i]->takeFirstCrashes()) {
+            for (std::size_t k = 0; k < Holders; ++k)
                 send(hash64(it.fingerprint, k), {it});
         }
     }
 
-    void beat()
+    void heartbeat()
     {
         for (std::size_t i = 0; i < Routers; ++i)
-            tellFrom(i, Fanout);
+            announceFrom(i, Fanout);
         clock.advance(400ms);
     }
 
@@ -303,11 +303,11 @@
 {
     for (std::size_t i = 0; i < 3; ++i) {
         end(i * 300, {Fatal});
-        tellFrom(i * 300, UrgentFanout);
-        beat();
+        announceFrom(i * 300, UrgentFanout);
+        heartbeat();
     }
     for (int i = 0; i < 6; ++i) // With the beat before, 2.8 s since the third end.
-        beat();
+        heartbeat();
     CHECK(heldBy(Fatal) == Routers);
 }
 
@@ -318,36 +318,37 @@
     for (std::size_t i = 0; i < Suspects; ++i)
         end(i % Routers, {fmt::format("suspect-{:016}", i)});
     for (int i = 0; i < 10; ++i)
-        beat();
-    CHECK(messages <= 2 * Keepers * Suspects);
+        heartbeat();
+    CHECK(messages <= 2 * Holders * Suspects);
     CHECK(heldBy("suspect-0000000000000001") == 0);
     messages = 0;
     for (int i = 0; i < 10; ++i)
-        beat();
+        heartbeat();
     CHECK(messages == 0);
 }
 
 TEST_CASE("crashRecord_mergedInAnyOrder_isTheSame")
 {
     ManualClock clock;
-    std::vector<ReplicaEnd> ends;
-    ends.reserve(12);
+    std::vector<ReplicaCrash> replicaCrashes;
+    replicaCrashes.reserve(12);
     for (int i = 0; i < 12; ++i)
-        ends.push_back({.replica = fmt::format("i-{}", i), .at = clock.now() + i * 300ms});
+        replicaCrashes.push_back(
+                {.replica = fmt::format("i-{}", i), .at = clock.now() + i * 300ms});
     std::vector<std::string> first;
     RandomSource random = seededRandom(3);
     for (int i = 0; i < 200; ++i) {
-        for (std::size_t k = ends.size() - 1; k > 0; --k)
-            std::swap(ends[k], ends[below(random, k + 1)]);
+        for (std::size_t k = replicaCrashes.size() - 1; k > 0; --k)
+            std::swap(replicaCrashes[k], replicaCrashes[below(random, k + 1)]);
         CrashRecord record;
-        for (const ReplicaEnd &it : ends)
+        for (const ReplicaCrash &it : replicaCrashes)
             record.add(it);
-        std::vector<std::string> kept;
-        for (const ReplicaEnd &it : record.ends())
-            kept.push_back(it.replica);
+        std::vector<std::string> stored;
+        for (const ReplicaCrash &it : record.replicaCrashes())
+            stored.push_back(it.replica);
         if (first.empty())
-            first = kept;
-        CHECK(kept == first);
+            first = stored;
+        CHECK(stored == first);
     }
     CHECK(first.back() == "i-11");
 }
--- /dev/null
+++ b/test/RouterHeartbeatTest.cpp
@@ -0,0 +1,55 @@
+#include "Control/RouterHeartbeat.h"
+
+#include <doctest/doctest.h>
+
+#include <fmt/format.h>
+
+using namespace catkinloft;
+using namespace std::chrono_literals;
+
+namespace {
+
+/// A beat as a router of a large fleet sends it.
+RouterHeartbeat usualHeartbeat()
+{
+    RouterHeartbeat out{.name = "front-kremikovtsi-hall-12",
+                        .incarnation = 1'796'300'123'456,
+                        .sequence = 48'211,
+                        .callerAddress = "10.128.4.40:8227",
+                        .peerAddress = "10.128.4.40:7340",
+                        .failureDomain = "kremikovtsi-hall",
+                        .processorShare = 0.12,
+                        .ready = true,
+                        .revision = 4'711,
+                        .proofAge = 812ms,
+                        .replicasAge = 644ms,
+                        .replicasHash = 0x9E3779B97F4A7C15,
+                        .replicasVersion = 190'211};
+    for (int i = 0; i < 4; ++i)
+        out.replicas.counts.emplace(fmt::format("i-7f3a91c{}~1234{}", i, i), 1);
+    return out;
+}
+
+} // namespace
+
+// Guards against a fleet whose own traffic grows past that of its callers.
+TEST_CASE("beatCodec_usualBeat_isPackedToLessThanHalf")
+{
+    const RouterHeartbeat heartbeat = usualHeartbeat();
+    const std::string packed = HeartbeatCodec::pack(heartbeat);
+    CHECK(2 * packed.size() < HeartbeatCodec::encode(heartbeat).size());
+    HeartbeatCodec codec;
+    const Result<RouterHeartbeat> read = codec.unpack(packed);
+    REQUIRE(read);
+    CHECK(HeartbeatCodec::encode(read.value()) == HeartbeatCodec::encode(heartbeat));
+}
+
+TEST_CASE("beatCodec_rubbish_isNoBeat")
+{
+    HeartbeatCodec codec;
+    const std::string packed = HeartbeatCodec::pack(usualHeartbeat());
+    CHECK_FALSE(codec.unpack(""));
+    CHECK_FALSE(codec.unpack("{}"));
+    CHECK_FALSE(codec.unpack(packed.substr(0, packed.size() - 1)));
+    CHECK_FALSE(codec.unpack(packed + "x"));
+}
--- a/test/StepTable.h
+++ b/test/StepTable.h
@@ -20,7 +20,7 @@
         LostAnswer, ///< Takes effect, and the caller is told that it may have.
         LostRequest, ///< Takes no effect, and the caller is told that it may have.
         Refused, ///< Takes no effect, and the caller is told so.
-        Late, ///< The caller is told that it may have; it takes effect with a later landLate().
+        Late, ///< The caller is told that it may have; it takes effect with a later applyLate().
     };
 
     void read(std::vector<std::string> keys, Callback<std::vector<TableRow>> done) override
@@ -61,7 +61,7 @@
     }
 
     /// \brief Lets the commits land that were late.
-    void landLate()
+    void applyLate()
     {
         for (const TableTransaction &it : std::exchange(m_late, {}))
             apply(it);
--- a/test/StoreReadPlanTest.cpp
+++ b/test/StoreReadPlanTest.cpp
@@ -134,12 +134,12 @@
     StoreReadPlan &plan = *plans.front();
     plan.began();
     clock.advance(400ms);
-    CHECK(plan.silence() == 400ms);
+    CHECK(plan.unansweredFor() == 400ms);
     plan.failed();
     CHECK(plan.isFailing());
-    CHECK(plan.silence() == 400ms);
+    CHECK(plan.unansweredFor() == 400ms);
     plan.rest();
-    CHECK(plan.silence() == 0ms);
+    CHECK(plan.unansweredFor() == 0ms);
     clock.advance(11s);
     CHECK_FALSE(plan.isFailing());
 }
@@ -150,7 +150,7 @@
     addRouters(295);
     StoreReadPlan &plan = *plans.front();
     plan.began();
-    plan.foundNothing();
+    plan.answeredEmpty();
     CHECK_FALSE(plan.isFailing());
     CHECK_FALSE(plan.isDue(state(false, true)));
     clock.advance(400ms);
--- a/test/StreamResumeTest.cpp
+++ b/test/StreamResumeTest.cpp
@@ -24,9 +24,9 @@
     bool feed(std::string_view data)
     {
         return reader.feed(data, [this](const SseEvent &it) {
-            if (cursor.take(it) == StreamCursor::Step::Deliver)
+            if (cursor.take(it) == StreamCursor::Disposition::Deliver)
                 delivered += it.text;
-            else if (cursor.take(it) == StreamCursor::Step::Gap)
+            else if (cursor.take(it) == StreamCursor::Disposition::Gap)
                 gap = true;
             ended = ended || it.isEnd;
         });
@@ -39,12 +39,12 @@
     bool ended = false;
 };
 
-using Step = EventOrder::Step;
+using Disposition = EventOrder::Disposition;
 
 /// \returns the results of \a order for the events \a ids on the current connection.
-std::vector<Step> take(EventOrder &order, const std::vector<std::int64_t> &ids)
+std::vector<Disposition> take(EventOrder &order, const std::vector<std::int64_t> &ids)
 {
-    std::vector<Step> out;
+    std::vector<Disposition> out;
     out.reserve(ids.size());
     for (const std::int64_t it : ids)
         out.push_back(order.take(it));
@@ -56,39 +56,42 @@
 TEST_CASE("eventOrder_idsIncreaseWithGaps_areDelivered")
 {
     EventOrder order;
-    CHECK(take(order, {1, 2, 5, 20}) == std::vector(4, Step::Deliver));
+    CHECK(take(order, {1, 2, 5, 20}) == std::vector(4, Disposition::Deliver));
     CHECK(order.last() == 20);
-    CHECK(order.take(std::nullopt) == Step::Deliver);
-    CHECK(!order.isBroken());
+    CHECK(order.take(std::nullopt) == Disposition::Deliver);
+    CHECK(!order.hasLostEvent());
 }
 
 // Guards against a stream that lacks an event and is still reported to the caller as complete.
 TEST_CASE("eventOrder_idDecreasesWithinOneConnection_isDisorder")
 {
     EventOrder order;
-    CHECK(take(order, {1, 5, 2}) == std::vector{Step::Deliver, Step::Deliver, Step::Disorder});
-    CHECK(order.isBroken());
+    CHECK(take(order, {1, 5, 2})
+          == std::vector{Disposition::Deliver, Disposition::Deliver, Disposition::Disorder});
+    CHECK(order.hasLostEvent());
     EventOrder repeated;
-    CHECK(take(repeated, {1, 2, 2}) == std::vector{Step::Deliver, Step::Deliver, Step::Disorder});
+    CHECK(take(repeated, {1, 2, 2})
+          == std::vector{Disposition::Deliver, Disposition::Deliver, Disposition::Disorder});
 }
 
 TEST_CASE("eventOrder_resumedStreamRepeatsKnownEvents_skipsThem")
 {
     EventOrder order;
     take(order, {1, 2, 3});
-    order.connected();
-    CHECK(take(order, {2, 3, 4}) == std::vector{Step::Skip, Step::Skip, Step::Deliver});
-    CHECK(take(order, {3}) == std::vector{Step::Disorder});
-    CHECK(order.isBroken());
+    order.beginConnection();
+    CHECK(take(order, {2, 3, 4})
+          == std::vector{Disposition::Skip, Disposition::Skip, Disposition::Deliver});
+    CHECK(take(order, {3}) == std::vector{Disposition::Disorder});
+    CHECK(order.hasLostEvent());
 }
 
 TEST_CASE("eventOrder_repeatedEventsOutOfOrder_deliveredEventsStayComplete")
 {
     EventOrder order;
     take(order, {1, 2, 3});
-    order.connected();
-    CHECK(take(order, {3, 2}) == std::vector{Step::Skip, Step::Disorder});
-    CHECK(!order.isBroken());
+    order.beginConnection();
+    CHECK(take(order, {3, 2}) == std::vector{Disposition::Skip, Disposition::Disorder});
+    CHECK(!order.hasLostEvent());
     CHECK(order.last() == 3);
 }
 
@@ -96,31 +99,33 @@
 {
     EventOrder order;
     take(order, {1, 2, 3});
-    order.connected();
-    CHECK(order.take(5) == Step::Gap);
+    order.beginConnection();
+    CHECK(order.take(5) == Disposition::Gap);
     CHECK(order.last() == 3);
-    order.connected();
-    CHECK(order.take(4) == Step::Deliver);
+    order.beginConnection();
+    CHECK(order.take(4) == Disposition::Deliver);
 }
 
 TEST_CASE("eventOrder_idsWithGaps_mayResumeWithAnyLaterOne")
 {
     EventOrder order;
     take(order, {10, 20});
-    order.connected();
-    CHECK(order.take(35) == Step::Deliver);
+    order.beginConnection();
+    CHECK(order.take(35) == Disposition::Deliver);
     EventOrder repeating;
     take(repeating, {1, 2});
-    repeating.connected();
-    CHECK(take(repeating, {2, 4}) == std::vector{Step::Skip, Step::Deliver});
+    repeating.beginConnection();
+    CHECK(take(repeating, {2, 4}) == std::vector{Disposition::Skip, Disposition::Deliver});
 }
 
 TEST_CASE("eventOrder_callerResumes_repeatedEventsAreSkipped")
 {
     EventOrder order(12);
-    CHECK(take(order, {11, 12, 13}) == std::vector{Step::Skip, Step::Skip, Step::Deliver});
+    CHECK(take(order, {11, 12, 13})
+          == std::vector{Disposition::Skip, Disposition::Skip, Disposition::Deliver});
     EventOrder later(12);
-    CHECK(later.take(15) == Step::Deliver); // Whether the ids were consecutive before is unknown.
+    CHECK(later.take(15)
+          == Disposition::Deliver); // Whether the ids were consecutive before is unknown.
 }
 
 TEST_CASE("sseReader_streamSplitAnywhere_yieldsTheSameEvents")
