--- a/src/Request/EntryRequest.h
+++ b/src/Request/EntryRequest.h
@@ -20,8 +20,7 @@
 {
     std::string id = {}; ///< Id of this attempt of the caller.
     std::string key = {}; ///< API key of a workspace; empty if there is none.
-    std::optional<Duration> callerTimeout =
-            {}; ///< How long the caller waits after it sent the request.
+    std::optional<Duration> callerTimeout = {}; ///< Starts when the caller sends the request.
     std::optional<std::int64_t> lastEventId = {}; ///< The stream resumes after this event.
     std::vector<PromptPart> prompt = {}; ///< In order; only the last part is unique to the request.
     double promptTokens = 0;
