--- a/src/Net/CrashWatch.cpp
+++ b/src/Net/CrashWatch.cpp
@@ -21,20 +21,21 @@
 
 using namespace std::chrono_literals;
 
-/// A connection within a region takes milliseconds; the request waits for it before it is sent
-/// elsewhere.
+/// Opening a connection within a region takes milliseconds. The request waits for the result before
+/// it is sent to another replica.
 constexpr Duration ConnectLimit = 150ms;
 
-/// How long a proxy has to find that nothing listens behind it.
+/// Time in which a proxy finds that nothing listens behind it and closes the connection.
 constexpr Duration CloseLimit = 100ms;
 
-/// How long it is remembered that a replica ended, for the other requests that ran on it. One that
-/// has no name of its own for each start may be back later.
+/// Time for which a crash is remembered for the other requests that the replica was processing. It
+/// is short because a replica whose incarnation does not change with each start may be running
+/// again later.
 constexpr Duration EndMemory = 1s;
 
 enum class Finding : std::uint8_t {
     Unknown,
-    Connected, ///< Something listens there.
+    Connected, ///< A process accepted the connection.
     Ended,
 };
 
@@ -42,10 +43,10 @@
 {
     CrashWatch::BrokenRun run;
     CrashWatch::Patience patience = CrashWatch::Patience::Short;
-    std::function<void(bool)> decided; ///< Null once it was called.
+    std::function<void(bool)> decided; ///< Null after it was called.
 };
 
-/// A connection that only shows whether somebody listens.
+/// A connection that is opened only to find out whether a process listens at the address.
 class Probe
 {
 public:
@@ -78,7 +79,7 @@
     Probe &operator=(const Probe &) = delete;
 
 private:
-    /// \returns EINPROGRESS where it has to be waited for.
+    /// \returns EINPROGRESS while the connection is pending, else the error.
     int connect(const std::string &address)
     {
         sockaddr_storage to{};
@@ -109,7 +110,7 @@
         m_found(Finding::Connected);
     }
 
-    /// Nothing was asked, so an end is what there is to read.
+    /// Nothing was requested, so the only expected event is that the connection is closed.
     void readable()
     {
         char byte = 0;
@@ -125,7 +126,7 @@
 
 struct Check
 {
-    TimePoint brokeAt; ///< The first of the runs.
+    TimePoint brokeAt; ///< When the first of the waiting attempts broke.
     std::unique_ptr<Probe> probe;
     bool connected = false;
     std::vector<Waiting> waiting;
@@ -143,8 +144,8 @@
     void forgetOld();
 
     Options options;
-    std::map<std::string, Check> checks; ///< By replica.
-    std::map<std::string, TimePoint> ended; ///< By replica, when that was found.
+    std::map<std::string, Check> checks; ///< By incarnation of the replica.
+    std::map<std::string, TimePoint> ended; ///< Time of the crash by incarnation.
 };
 
 CrashWatch::CrashWatch(Options options) : m_d(std::make_unique<Private>(std::move(options))) { }
@@ -190,7 +191,7 @@
             noteEnd(it.run, check.brokeAt);
     }
     check.connected = finding == Finding::Connected;
-    // The hooks may ask for the next check.
+    // The callbacks may start the next check, so they run after the state is updated.
     std::vector<std::function<void(bool)>> hooks;
     for (Waiting &it : check.waiting) {
         const bool waits = check.connected && it.patience == Patience::Long;
@@ -203,7 +204,7 @@
         it(finding == Finding::Ended);
 }
 
-/// The probe may not be freed from within its own callback.
+/// The probe must not be destroyed from within its own callback.
 void CrashWatch::Private::finish(const std::string &replica)
 {
     auto node = checks.extract(replica);
@@ -212,7 +213,7 @@
 
 void CrashWatch::Private::noteEnd(const BrokenRun &run, TimePoint endedAt)
 {
-    // What was sent later met a proxy before a replica that had ended.
+    // Requests sent after the crash only reached the proxy in front of the replica.
     if (run.sentAt > endedAt)
         return;
     Log::info("run_ended_with_replica",
--- a/src/Net/CrashWatch.h
+++ b/src/Net/CrashWatch.h
@@ -12,39 +12,41 @@
 class EventLoop;
 class Metrics;
 
-/// \brief Finds out whether a replica has ended when the connection of a request to it broke.
+/// \brief Detects whether a replica crashed when the connection of a request to it broke.
 ///
-/// A connection also breaks where a replica loses one answer, where the path is cut, or where this
-/// router's own connections are reset. So a new connection is tried: one that is refused, or closed
-/// before a byte was sent, leads to no process. Silence proves nothing.
+/// A connection also breaks when a replica drops a single answer, when the network path is cut, or
+/// when this router's own connections are reset. A new connection is therefore opened: if it is
+/// refused, or closed before a byte was sent, no process is behind the address. A connection
+/// attempt that gets no response proves nothing.
 class CrashWatch
 {
 public:
-    /// \brief A run of a request whose connection broke.
+    /// \brief An attempt of a request whose connection broke.
     struct BrokenRun
     {
         std::string requestId = {};
         std::string fingerprint = {}; ///< \sa requestFingerprint()
-        std::string replica = {}; ///< Its incarnation.
+        std::string replica = {}; ///< Incarnation of the replica.
         std::string software = {}; ///< \sa ReplicaRecord::software
-        std::string address = {}; ///< Of the replica, `ip:port`.
+        std::string address = {}; ///< Address of the replica, `ip:port`.
         TimePoint sentAt = {};
     };
 
-    /// \brief When the sender of a broken run is told what is known.
+    /// \brief What a replica has to do to count as alive.
     enum class Patience : std::uint8_t {
-        Short, ///< As soon as something listens, which may be a proxy before a dead replica.
-        Long, ///< When it is also known that it does not close the connection again.
+        Short, ///< Accept a connection; a proxy in front of a crashed replica does so too.
+        Long, ///< Accept a connection and not close it within the time that a proxy needs.
     };
 
     struct Options
     {
         EventLoop &loop;
         Metrics &metrics;
-        /// Told of each run that broke because its replica ended, and when the replica did.
+        /// Called for each attempt that broke because its replica crashed, with the time of the
+        /// crash.
         std::function<void(const BrokenRun &, TimePoint endedAt)> runEnded = [](const BrokenRun &,
                                                                                 TimePoint) {};
-        /// Told once of each replica that has ended.
+        /// Called once for each replica that crashed.
         std::function<void(const std::string &replica)> replicaCrashed = [](const std::string &) {};
     };
 
@@ -53,9 +55,10 @@
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
-    /// \brief Looks whether the replica of \a run has ended.
-    /// \param decided is told once, later: true where it certainly has. A replica behind a proxy
-    /// may be found to have ended after that; Options::runEnded is told all the same.
+    /// \brief Checks whether the replica of \a run has crashed.
+    /// \param decided is called once, after this function has returned: with true if the replica
+    /// certainly crashed. A crash behind a proxy may be detected only after that; Options::runEnded
+    /// is called in this case too.
     void runBroke(BrokenRun run, Patience patience, std::function<void(bool ended)> decided);
 
 private:
--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -16,48 +16,50 @@
 
 using namespace std::chrono_literals;
 
-/// A new connection takes a round trip and a millisecond; a replica that needs this long is not
-/// reached. Short, since a call of 150 ms has to be placed elsewhere and still be on time.
+/// Opening a connection takes a round trip plus about a millisecond, so a replica that takes this
+/// long is unreachable. The timeout is small because a call that has to be answered within 150 ms
+/// must still reach another replica in time.
 constexpr Duration ConnectTimeout = 150ms;
 
-/// How long a replica is left out after it refused a connection. Restarts take seconds.
+/// Time for which a replica is excluded after it refused a connection. Restarts take seconds.
 constexpr Duration UnreachablePause = 1s;
 
-/// How long a replica is left out after it was too full for a request. It frees a place in tens of
-/// milliseconds, and other routers send to it too.
+/// Time for which a replica is excluded after it had no free slot for a request. Slots become free
+/// within tens of milliseconds, and other routers send to the replica too.
 constexpr Duration FullPause = 100ms;
 
-/// How long an address is left out at which another replica answered; by then the list is new.
+/// Time for which an address is excluded after another replica answered there. The list of replicas
+/// is updated within this time.
 constexpr Duration MisdirectedPause = 3s;
 
-/// Longest pause of a resumable stream, as a multiple of the pause that is still on time, and at
-/// least. Callers give up after eight times that pause and two seconds; half of it leaves time for
-/// the replica that goes on.
+/// A resumable stream counts as stalled after StallFactor times the largest permitted gap between
+/// events, but not before MinStall. Callers give up after eight times that gap plus two seconds;
+/// half of it leaves the replica that resumes the stream enough time.
 constexpr int StallFactor = 3;
 constexpr Duration MinStall = 1200ms;
 
-/// Part of an idempotent call's time after which another replica is asked.
+/// An idempotent call is sent to another replica after its timeout divided by this number.
 constexpr int SilenceParts = 2;
 
-/// Least time for which sending again makes sense.
+/// A retry needs at least this much time to be useful.
 constexpr Duration MinRepeatTime = 20ms;
 
-/// Replicas that may end under one request of a caller, where none had ended under it before. The
-/// second may have ended by chance; more would cost the others of the service more than the one
-/// request is worth.
+/// Replicas that may crash during attempts of one request if no replica had crashed under it before.
+/// The second crash may be a coincidence; further crashes would harm the other callers of the
+/// service more than the request is worth.
 constexpr int MaxEndedReplicas = 2;
 
-/// What is taken off the caller's time for the way back.
+/// Part of the caller's time that is reserved for returning the answer.
 constexpr Duration ReturnTime = 5ms;
 
-/// The request came to another replica than it names.
+/// Status of a request that reached another replica than the one it names.
 constexpr int Misdirected = 421;
 
-/// Longest answer that is held, as opposed to relayed.
+/// Longest answer that is buffered as a whole; streams are forwarded as they arrive.
 constexpr std::size_t MaxHeldAnswer = 16 * 1024 * 1024;
 
-/// When a caller whose request nobody could take may come back, and how far callers are spread so
-/// that they do not return together.
+/// Delay after which a caller may retry if no replica was available, and the range of the random
+/// delay added to it so that callers do not retry at the same time.
 constexpr Duration RetryBase = 200ms;
 constexpr Duration RetrySpread = 300ms;
 
@@ -66,13 +68,14 @@
     return status >= 200 && status < 300;
 }
 
-/// These promise that the request did not run; without the replica's word they can't be passed on.
+/// These statuses promise that the request did not run. They are forwarded only if the replica states
+/// it explicitly.
 bool promisesNotRun(int status)
 {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-/// Fractions of a second: callers honour them, and a whole second is a third of a call's time.
+/// Callers accept fractions of a second; a whole second would be a third of the time of a call.
 std::string retryAfterText(Duration d)
 {
     return fmt::format("{:.3f}", toSeconds(d));
@@ -115,7 +118,7 @@
         && !m_service->shedder.admits())
         return refuse(
                 {.reason = Reason::EnginesSaturated,
-                 .detail = fmt::format("{} gets more calls than it can do in time", m_serviceName),
+                 .detail = fmt::format("{} receives more calls than it can complete in time", m_serviceName),
                  .retryAfter = RetryBase,
                  .figures = {{"admitted_share", m_service->shedder.share()}}});
     attempt();
@@ -173,7 +176,7 @@
         return send(choice);
     const Error error{.reason = Reason::NoLiveEngine,
                       .verdict = m_verdict,
-                      .detail = fmt::format("no replica of {} can take it", m_serviceName),
+                      .detail = fmt::format("no replica of {} can take the request", m_serviceName),
                       .retryAfter = comeBackAfter(),
                       .figures = {{"usable_replicas",
                                    static_cast<double>(m_service->replicas.usableCount())}}};
@@ -188,7 +191,7 @@
                              .regions = m_request.route->regions};
     if (m_request.workspace)
         query.workspaceRegions = m_request.workspace->regions;
-    // The route bounds how many replicas may get it, not how often one does.
+    // The route limits how many replicas may get the request, not how often each one gets it.
     if (m_sendings.isLimitedToReached(*m_request.route)) {
         query.excluded = {};
         query.only = m_sendings.reached();
@@ -196,7 +199,7 @@
     const ReplicaPool::Choice choice = m_service->replicas.choose(query);
     if (choice.replica || query.excluded.empty())
         return choice;
-    // The only replica left may answer this time.
+    // All other replicas failed or are unavailable; a replica that failed may answer this time.
     query.excluded = {};
     return m_service->replicas.choose(query);
 }
@@ -215,7 +218,7 @@
 
 std::optional<Error> EntryCall::quarantineError()
 {
-    // Most of the time nothing is suspected, and no body needs to be hashed.
+    // The quarantine is usually empty; hashing the body is avoided then.
     if (!m_context.settings.mechanisms.requestQuarantine || m_context.quarantine.isEmpty()
         || !m_context.quarantine.isHeld(fingerprint()))
         return std::nullopt;
@@ -226,7 +229,7 @@
     return Error{.reason = Reason::RequestQuarantined,
                  .verdict = m_verdict,
                  .detail =
-                         fmt::format("request {} is held back: replicas {} ended while they ran it",
+                         fmt::format("request {} is quarantined: replicas {} crashed while they processed it",
                                      held->fingerprint, fmt::join(held->replicas, " ")),
                  .retryAfter = held->remaining,
                  .figures = {{"ended_replicas", static_cast<double>(held->replicas.size())}}};
@@ -234,7 +237,7 @@
 
 bool EntryCall::mayHaveEndedReplica(const Error &error) const
 {
-    // One that leaves ends by plan, with whatever is still in progress.
+    // A replica that is leaving stops on purpose and breaks the requests still in progress.
     return m_context.settings.mechanisms.requestQuarantine && error.reason == Reason::UpstreamBroken
             && error.verdict != Verdict::NotRun && m_service->replicas.isServing(m_incarnation);
 }
@@ -324,7 +327,7 @@
                                                            .lastEventId = m_order.last()}),
                  .body = std::string(m_exchange->body()),
                  .timeout =
-                         m_deadline - m_context.loop.now() + 1s, // The call's own timer is first.
+                         m_deadline - m_context.loop.now() + 1s, // m_deadlineTimer expires first.
                  .maxBodyBytes = MaxHeldAnswer,
                  .connectTimeout = ConnectTimeout,
                  .takesUnframed = true};
@@ -388,19 +391,19 @@
     m_answer = m_context.codec.decodeAnswer(head);
     noteReplicaState();
     if (!m_answer.requestId.empty() && m_answer.requestId != m_request.facts.id)
-        return failLater(Reason::AnswerMismatch, "the answer names another request");
+        return failLater(Reason::AnswerMismatch, "the answer carries the id of another request");
     if (!isSuccess(head.status))
         return;
     if (!m_answer.isSigned)
         return failLater(Reason::AnswerMismatch, "the answer is not signed by its replica");
     if (!head.header("Content-Encoding").empty())
-        return failLater(Reason::AnswerMismatch, "the answer is encoded though nobody asked");
+        return failLater(Reason::AnswerMismatch, "the answer has a content encoding that was not requested");
     if (isStreaming())
         beginRelay();
 }
 
-/// What a replica says of itself holds whatever the answer is worth, and also for the requests that
-/// are sent before it is whole.
+/// The state that a replica reports about itself is valid even if the answer is rejected. It is
+/// applied before the answer is complete, so that requests sent meanwhile respect it.
 void EntryCall::noteReplicaState()
 {
     const bool isAnother = m_head.status == Misdirected;
@@ -426,7 +429,7 @@
 
 void EntryCall::failLater(Reason reason, std::string detail)
 {
-    // The connection may not be freed from within its own callback.
+    // The connection must not be destroyed from within its own callback.
     m_context.loop.post([weak = weak_from_this(), number = m_attempt, reason,
                          detail = std::move(detail)] {
         const auto self = weak.lock();
@@ -444,7 +447,7 @@
     if (m_relaying) {
         noteFirstEvent();
         if (!m_reader.feed(data, [this](const SseEvent &event) { relay(event); }))
-            failLater(Reason::UpstreamBroken, "an event is longer than any can be");
+            failLater(Reason::UpstreamBroken, "an event of the stream is longer than the limit");
     } else if (m_head.status != 0) {
         m_body += data;
     }
@@ -467,7 +470,7 @@
 void EntryCall::relay(const SseEvent &event)
 {
     if (!m_relaying)
-        return; // An event before it has ended the attempt.
+        return; // An earlier event of the same chunk ended the attempt.
     const std::optional<std::int64_t> last = m_order.last();
     switch (m_order.take(event.id)) {
     case EventOrder::Disposition::Deliver:
@@ -476,7 +479,7 @@
         return;
     case EventOrder::Disposition::Gap:
         return failLater(Reason::UpstreamBroken,
-                         fmt::format("the stream was to go on behind event {} and began with {}",
+                         fmt::format("the stream was to resume after event {} and began with {}",
                                      *last, *event.id));
     case EventOrder::Disposition::Disorder:
         return failLater(Reason::UpstreamBroken,
@@ -538,7 +541,7 @@
     if (isStreaming() || !m_context.settings.mechanisms.loadShedding)
         return;
     const std::size_t usable = m_service->replicas.usableCount();
-    // One that pauses says nothing about the others, and gets nothing that could be held back.
+    // A paused replica says nothing about the load of the others and receives no calls to shed.
     if (m_answer.pause)
         return;
     if (m_answer.notExecuted && m_head.status == 503)
@@ -574,15 +577,15 @@
             m_sendings.didNotArrive(m_incarnation);
         return attemptFailed({.reason = Reason::UpstreamRefused,
                               .verdict = Verdict::NotRun,
-                              .detail = fmt::format("replica {} did not run it: {}", m_replica.id,
+                              .detail = fmt::format("replica {} did not run the request: status {}", m_replica.id,
                                                     m_head.status)});
     }
     if (promisesNotRun(m_head.status))
         return attemptFailed({.reason = Reason::UpstreamRefused,
                               .verdict = Verdict::MayHaveRun,
-                              .detail = "the replica refused without saying that it did not run"});
+                              .detail = "the replica refused without stating that the request did not run"});
     m_verdict = Verdict::Ran;
-    // An answer that is there is better than none.
+    // If the request cannot be retried, this error answer is delivered: it is better than none.
     const bool elsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
             && m_service->replicas.usableCount() > 0;
     if (elsewhere && mayRetry(m_verdict)) {
@@ -608,7 +611,7 @@
     if (!m_sendings.mayRetry(*m_request.route) || remaining() < MinRepeatTime
         || m_endedReplicas >= MaxEndedReplicas || (m_endedReplicas > 0 && suspicion() > 1))
         return false;
-    // A service that holds calls back has no room for those that it has worked on.
+    // A service that sheds calls has no capacity to process a call a second time.
     if (verdict != Verdict::NotRun && !isStreaming() && m_service->shedder.isShedding())
         return false;
     if (!m_service->repeats.tryRetry(m_context.sharingRouters())) {
@@ -633,7 +636,7 @@
         if (m_sendings.wasUnreachable(m_incarnation))
             return attempt();
     }
-    // What the caller lacks can't be sent any more once it has a later event.
+    // A missing event cannot be delivered any more after a later one was.
     const bool safe = (error.verdict == Verdict::NotRun || m_request.route->isIdempotent())
             && !m_order.hasLostEvent();
     if (!unreached && safe && mayRetry(error.verdict))
@@ -653,12 +656,12 @@
 {
     if (m_finished)
         return;
-    // What was sent and not answered may be running.
+    // A request that was sent and not answered may be running.
     const Verdict verdict = m_attempting ? Verdict::MayHaveRun : m_verdict;
     endAttempt(false, Reason::UpstreamTimeout, isStreaming() && !hasStalled());
     const Error error{.reason = Reason::DeadlineExpired,
                       .verdict = verdict,
-                      .detail = "no whole answer by the deadline",
+                      .detail = "no complete answer by the deadline",
                       .retryAfter = RetryBase};
     m_begun ? breakOff(error) : refuse(error);
 }
@@ -680,7 +683,7 @@
 {
     if (m_finished)
         return;
-    // Callers leave a stream that pauses for two seconds or more: its replica is at fault then.
+    // Callers leave a stream that stalls for two seconds or more; the replica is at fault then.
     endAttempt(false, hasStalled() ? Reason::UpstreamTimeout : Reason::CallerGone);
     finish(RequestEvent::Kind::CallerGone, 0, nullptr);
 }
@@ -690,7 +693,7 @@
     const int status = Problem::status(error);
     HttpHeaders headers = m_context.codec.ownAnswerHeaders(m_request);
     headers.emplace_back("Content-Type", "application/problem+json");
-    // What ends replicas should not come back at once, even where it may have run.
+    // A request that crashes replicas must not be retried at once, even if it may have run.
     const bool isHeld = error.reason == Reason::RequestQuarantined;
     if ((status == 503 || isHeld) && error.retryAfter) {
         const Duration spread = scaled(RetrySpread, uniform(m_context.random));
--- a/src/Net/EntryCall.h
+++ b/src/Net/EntryCall.h
@@ -26,7 +26,7 @@
 
 class EventLoop;
 
-/// \brief What all calls of a gateway share.
+/// \brief Objects and callbacks that all calls of a gateway share.
 struct EntryContext
 {
     EventLoop &loop;
@@ -39,30 +39,30 @@
     RequestQuarantine &quarantine;
     CrashWatch &crashes;
     RandomSource random;
-    std::function<int()> sharingRouters; ///< Routers that share the repeat budget.
-    std::function<bool()> refusesNew; ///< The process is about to stop.
-    /// Told of each prompt that is sent to a replica, which keeps it from then on.
+    std::function<int()> sharingRouters; ///< Routers that share the retry budget.
+    std::function<bool()> refusesNew; ///< Whether new requests are refused.
+    /// Called for each prompt that is sent to a replica, which caches it from then on.
     std::function<void(const std::string &replica, std::span<const PromptPart>)> promptSent = {};
-    /// Told of each answer in which a replica says that it leaves, by its incarnation.
+    /// Called with the incarnation of a replica whose answer states that it is leaving.
     std::function<void(const std::string &replica)> replicaLeaves = [](const std::string &) {};
-    /// The same for whatever answers at an address where replica \a id was meant.
+    /// Called when a process other than replica \a id answers at \a address that it is leaving.
     std::function<void(const std::string &address, const std::string &id)> othersLeave =
             [](const std::string &, const std::string &) {};
-    std::function<void()> replicaEjected = {}; ///< The other routers should hear of it at once.
-    std::function<Duration()> proofAge = {}; ///< Of the configuration, for the log.
+    std::function<void()> replicaEjected = {}; ///< Announces the ejection to the other routers at once.
+    std::function<Duration()> proofAge = {}; ///< Proof age of the configuration, for the log.
     std::function<void(const RequestEvent &)> report = logRequestEvent;
 };
 
-/// \brief One request from its arrival to its last byte: filtered, placed, sent, sent again where
-/// that is allowed, and answered.
+/// \brief Handles one request from its arrival to the last byte of its answer: filters it, chooses
+/// a replica, sends it, retries it where that is allowed, and answers the caller.
 ///
-/// A request that may have run is never sent again unless it is idempotent, and is never answered
-/// with a status that says that it has not run. An answer is only passed on if it names this
-/// request and bears the replica's signature.
+/// A request that may have run is never retried unless it is idempotent, and is never answered
+/// with a status that states that it did not run. An answer is forwarded only if it carries the id
+/// of this request and the signature of the replica.
 class EntryCall : public std::enable_shared_from_this<EntryCall>
 {
 public:
-    /// \param done runs once, when nothing more will happen.
+    /// \param done is called once, when the call is finished.
     EntryCall(EntryContext &context, HttpExchangePtr exchange, std::function<void()> done);
     ~EntryCall();
     EntryCall(const EntryCall &) = delete;
@@ -81,7 +81,7 @@
     void reportSent(const ReplicaPool::Choice &choice) const;
     HttpCall composeCall(const std::string &copyFrom) const;
     Duration stallLimit() const;
-    Duration readingTime() const; ///< That a sound engine may need for the prompt.
+    Duration readingTime() const; ///< Time that a healthy engine may take to process the prompt.
     HttpCallEvents attemptEvents();
     void noteFirstEvent();
 
@@ -95,7 +95,7 @@
     void endRelay();
 
     void noteReplicaState();
-    Duration comeBackAfter() const; ///< When a caller whose request nobody could take should.
+    Duration comeBackAfter() const; ///< Time until a caller may retry if no replica was available.
     void noteLoad();
     void noteForgottenConnection(const Error &error);
     void takeAnswer();
@@ -108,7 +108,7 @@
     int suspicion(); ///< \sa RequestQuarantine::suspicion
     void checkReplicaEnd(const Error &error);
     void replicaEndChecked(const Error &error, bool ended);
-    /// \param verdict of the sending that failed.
+    /// \param verdict of the attempt that failed.
     bool mayRetry(Verdict verdict);
     /// \param ignoredForHealth \sa AttemptReport::ignoredForHealth
     void endAttempt(bool succeeded, Reason reason, bool ignoredForHealth = false);
@@ -135,28 +135,28 @@
     std::string m_serviceName;
 
     HttpCallPtr m_call;
-    unsigned m_attempt = 0; ///< Number of the attempt in progress; events of others are late.
+    unsigned m_attempt = 0; ///< Number of the current attempt; events of earlier ones are ignored.
     bool m_attempting = false;
     ReplicaRecord m_replica;
-    std::string m_incarnation; ///< Of m_replica.
+    std::string m_incarnation; ///< Incarnation of m_replica.
     TimePoint m_attemptBegan;
-    TimePoint m_heardAt; ///< Last byte of this attempt's answer, or its beginning.
-    std::optional<Duration> m_firstByte; ///< Of this attempt.
-    Duration m_stallLimit = Duration::zero(); ///< Silence after which its stream has stalled.
-    bool m_heardEvent = false; ///< Of this attempt's stream.
-    bool m_readsWholePrompt = false; ///< Nothing of the prompt is known to be kept there.
+    TimePoint m_heardAt; ///< When the last byte of the answer arrived, else when the attempt started.
+    std::optional<Duration> m_firstByte; ///< Time from the start of this attempt to its first byte.
+    Duration m_stallLimit = Duration::zero(); ///< Time without data after which the stream counts as stalled.
+    bool m_heardEvent = false; ///< This attempt has received an event of the stream.
+    bool m_readsWholePrompt = false; ///< The replica is not known to cache any part of the prompt.
     AttemptHistory m_sendings;
-    int m_endedReplicas = 0; ///< Under attempts of this request.
-    std::string m_fingerprint; ///< Empty until it is needed.
-    Verdict m_verdict = Verdict::NotRun; ///< Over all ended attempts.
+    int m_endedReplicas = 0; ///< Replicas that crashed during attempts of this request.
+    std::string m_fingerprint; ///< Computed on first use.
+    Verdict m_verdict = Verdict::NotRun; ///< Combined verdict of all finished attempts.
 
     HttpHead m_head;
     AnswerFacts m_answer;
     std::string m_body;
     SseReader m_reader;
     EventOrder m_order;
-    bool m_relaying = false; ///< This attempt's events go to the caller.
-    bool m_begun = false; ///< The caller has got the head of the answer.
+    bool m_relaying = false; ///< Events of this attempt are forwarded to the caller.
+    bool m_begun = false; ///< The head of the answer was sent to the caller.
     bool m_finished = false;
 };
 
