--- a/src/Net/ClaimPump.h
+++ b/src/Net/ClaimPump.h
@@ -10,7 +10,7 @@
 
 class EventLoop;
 
-/// \brief Drives ClaimManager and ClaimSweeper by the event loop.
+/// \brief Drives ClaimManager and ClaimSweeper by timers of the event loop.
 class ClaimPump
 {
 public:
@@ -22,7 +22,7 @@
         Metrics &metrics;
         RandomSource random;
         std::string router;
-        std::function<std::size_t()> routers; ///< How many share the sweeping.
+        std::function<std::size_t()> routers; ///< Number of routers that share the sweeping.
     };
 
     explicit ClaimPump(Options options);
--- a/src/Net/ForwardTask.cpp
+++ b/src/Net/ForwardTask.cpp
@@ -14,16 +14,18 @@
 
 namespace {
 
-/// More attempts only add load to a pool that is failing; the retry budget bounds their sum.
+/// More attempts would only add load to a failing pool. The retry budget limits the sum of retries
+/// of all requests.
 constexpr int MaxAttempts = 3;
 
-/// Upstreams that may end under one request: the second may have ended by chance.
+/// Upstreams that may crash during attempts of one request. The second crash may be a coincidence.
 constexpr int MaxEndedUpstreams = 2;
 
-/// Leaves room for the suffix within the longest id that a router takes from another.
+/// Leaves room for the suffix within the longest id that a router accepts from another router.
 constexpr std::size_t MaxIdPrefix = 96;
 
-/// When a caller whose request no upstream took may come back: one that starts needs seconds.
+/// Delay after which a caller may retry if no upstream was reachable. Upstreams take seconds to
+/// start.
 constexpr Duration UnreachableRetry = std::chrono::seconds(1);
 
 bool refusedForDraining(const HttpHead &head, const std::string &body)
@@ -83,14 +85,14 @@
     }
     m_placed = true;
     m_assignment = std::move(assignment.value());
-    // It may have waited in a queue since it was asked first.
+    // The request may have waited in a queue since the quarantine was checked in start().
     if (const std::optional<Error> held = quarantineError()) {
         report(true, Verdict::NotRun, Reason::RequestQuarantined);
         return refuse(*held);
     }
     m_freshConnection =
             !m_request.idempotent || (m_request.kind == RequestKind::Chat && !m_request.streamed);
-    // Claimed only now: a call that the queues refuse costs the store nothing.
+    // The key is claimed only now, so that a call refused by the queues causes no store access.
     if (repeatability() == Repeatability::Keyed && !m_claim)
         claim();
     else
@@ -173,15 +175,15 @@
             fmt::format("{}", std::max<std::int64_t>(1, left.count() / 1'000'000)));
     if (m_assignment.relayed) {
         call.headers.emplace_back(headers::Hops, "1");
-        // The next router authenticates the caller by itself.
+        // The next router authenticates the caller itself.
         call.headers.emplace_back(headers::Authorization,
                                   std::string(m_request.header(headers::Authorization)));
     }
     const TlsSettings &tls = m_options.router.settings.tls;
     call.secure = !(m_assignment.relayed ? tls.certificateFile : tls.caFile).empty();
-    // A pooled connection may have gone silent. What can be repeated finds that out by itself;
-    // everything else is sent on a new connection, which proves the path before any byte of the
-    // request leaves.
+    // A pooled connection may be broken without this router knowing. Requests that can be retried
+    // detect that by the progress timeout. All others use a new connection, whose handshake shows
+    // that the upstream is reachable before any byte of the request is sent.
     if (!m_freshConnection)
         call.progressTimeout = m_request.inventory->rules.progressTimeout;
     return call;
@@ -214,7 +216,7 @@
         return outcome::success();
     return Error{.reason = Reason::AnswerMismatch,
                  .verdict = Verdict::MayHaveRun,
-                 .detail = "the answer names another request"};
+                 .detail = "the answer carries the id of another request"};
 }
 
 void ForwardTask::ended(const Result<void> &result)
@@ -230,7 +232,7 @@
         return;
     }
     if (m_assignment.relayed && refusedForDraining(m_head, m_answer)) {
-        // The router that owns the engine did nothing; the engine can still be asked.
+        // The router that owns the engine refused the request; the engine itself can still take it.
         report(true, Verdict::NotRun, Reason::Draining);
         m_direct = true;
         start();
@@ -240,7 +242,7 @@
     const auto declines = it ? it->notRunStatuses : std::vector<int>();
     if (std::find(declines.begin(), declines.end(), m_head.status) != declines.end()) {
         failed({.reason = Reason::UpstreamRefused,
-                .detail = fmt::format("status {} means that nothing was done", m_head.status)});
+                .detail = fmt::format("status {} means that the request was not run", m_head.status)});
         return;
     }
     const bool overloaded = m_head.status == 503 || m_head.status == 429;
@@ -260,8 +262,9 @@
     deliver(Verdict::Ran);
 }
 
-/// Tells the router in front that the engine has the request: while a long prompt is read there is
-/// nothing else to tell, and silence would make it send the request again.
+/// Tells the router in front that the engine has received the request. While the engine processes a
+/// long prompt there is no token to send, and without any data the router in front would retry the
+/// request.
 void ForwardTask::heartbeat()
 {
     if (m_stream && m_stream->delivered()) {
@@ -273,7 +276,7 @@
     m_exchange.write(": waiting\n\n");
 }
 
-/// The engine now holds the chat's context.
+/// Reports that the engine now caches the context of the chat.
 void ForwardTask::noteServed() const
 {
     if (m_options.router.served && m_request.chatKey != 0 && !m_assignment.relayed)
@@ -288,7 +291,7 @@
         m_stream->callerLeft();
         return;
     }
-    // A claimed call goes on: its caller will ask for the outcome with the same key.
+    // A claimed call continues: the caller may request its outcome later with the same key.
     if (repeatability() == Repeatability::Keyed && m_placed)
         return;
     const VerdictRule &rule = verdictRule(ErrorPath::CallerLeft, repeatability());
@@ -392,7 +395,7 @@
     attemptFailed(result.error());
 }
 
-// --- Requests that end their upstreams ---
+// --- Requests that crash their upstreams ---
 
 const std::string &ForwardTask::fingerprint()
 {
@@ -404,7 +407,7 @@
     return m_fingerprint;
 }
 
-/// The inventory names no versions of programs.
+/// The service or model stands for the software, since the inventory contains no program versions.
 std::string ForwardTask::software() const
 {
     return m_request.kind == RequestKind::Call ? m_request.service : m_request.model;
@@ -420,7 +423,7 @@
     if (!held)
         return std::nullopt;
     return Error{.reason = Reason::RequestQuarantined,
-                 .detail = fmt::format("upstreams {} ended while they ran this request",
+                 .detail = fmt::format("upstreams {} crashed while they processed this request",
                                        fmt::join(held->replicas, " ")),
                  .retryAfter = held->remaining,
                  .figures = {{"ended_replicas", static_cast<double>(held->replicas.size())}}};
@@ -451,11 +454,11 @@
                                });
 }
 
-// --- The end ---
+// --- Completion ---
 
 void ForwardTask::failed(const Error &error)
 {
-    // The connection broke before the stream began: the engine may be generating all the same.
+    // The connection broke before the stream began, but the engine may be generating tokens.
     const bool unheard = !m_stream && m_request.kind == RequestKind::Chat && m_request.streamed
             && !m_assignment.relayed && error.verdict == Verdict::MayHaveRun
             && error.reason != Reason::AnswerMismatch && !m_callerLeft;
@@ -473,7 +476,7 @@
     if (!m_callerLeft && mayRetry(rule, error)) {
         m_options.router.metrics.retried(error.reason);
         m_job.excluded.push_back(m_assignment.upstream);
-        // Its own hooks may be on the stack.
+        // The relay's own callbacks may be on the stack.
         m_options.router.loop.post([held = std::shared_ptr<StreamRelay>(std::move(m_stream))] {});
         start();
         return;
@@ -490,7 +493,8 @@
     }
 }
 
-/// A silent connection says nothing about the upstream until a new one is silent too.
+/// A timeout on a pooled connection does not show that the upstream failed; a timeout on a new one
+/// does.
 bool ForwardTask::tryAnotherConnection(const Error &error)
 {
     if (m_freshConnection || m_request.streamed || error.reason != Reason::UpstreamTimeout
@@ -505,7 +509,7 @@
 
 bool ForwardTask::mayRetry(const VerdictRule &rule, const Error &error)
 {
-    // Once it is suspect, the others of the service are spared its second attempt.
+    // A suspected request gets no second attempt, which protects the other upstreams of the service.
     if (m_endedUpstreams > 0 && m_options.quarantine.suspicion(fingerprint()) > 1)
         return false;
     return m_options.pool && rule.mayRetry && m_request.attempts < MaxAttempts
@@ -515,7 +519,7 @@
 
 void ForwardTask::refuse(Error error)
 {
-    // The attempts before count too; a claim's error speaks for other attempts with its key.
+    // Earlier attempts count too; the error of a claim covers the other attempts with its key.
     error.verdict = combine(m_request.verdict, error.verdict);
     if (error.reason == Reason::UpstreamUnreachable && error.verdict == Verdict::NotRun)
         error.retryAfter = UnreachableRetry;
--- a/src/Net/ForwardTask.h
+++ b/src/Net/ForwardTask.h
@@ -11,8 +11,8 @@
 
 namespace catkinloft {
 
-/// \brief One request on its way through one or more upstreams, until its answer is whole or the
-/// caller was told why there is none.
+/// \brief Forwards one request to one or more upstreams until the answer is complete or the caller
+/// received the reason why there is none.
 class ForwardTask : public std::enable_shared_from_this<ForwardTask>
 {
 public:
@@ -22,8 +22,8 @@
         ClaimManager &claims;
         RequestQuarantine &quarantine;
         CrashWatch &crashes;
-        std::size_t &buffered; ///< Bytes held for all callers of the process.
-        Dispatcher *pool; ///< nullptr where the upstream is known, as for a resumed stream.
+        std::size_t &buffered; ///< Bytes buffered for all callers of the process.
+        Dispatcher *pool; ///< nullptr if the upstream is known already, as for a resumed stream.
         JobId job;
         RequestPtr request;
         HttpExchangePtr exchange;
@@ -32,10 +32,10 @@
 
     explicit ForwardTask(Options options);
 
-    /// \brief Asks for a place and goes on from there.
+    /// \brief Submits the request to the pool and sends it to the upstream that is assigned.
     void start();
 
-    /// \brief Takes up the stream of \a token, which another connection lost.
+    /// \brief Resumes the stream of \a token, whose connection to the caller broke.
     void resume(const ResumeToken &token, const std::string &engineAddress);
 
     const std::string &requestId() const { return m_request.id; }
@@ -64,13 +64,13 @@
     std::string resumeToken() const;
     void streamEnded(const Result<void> &result);
 
-    // Requests that end their upstreams.
+    // Requests that crash their upstreams.
     const std::string &fingerprint();
     std::string software() const;
     std::optional<Error> quarantineError();
     void checkUpstreamEnd(const Error &error);
 
-    // The end.
+    // Completion.
     void attemptFailed(const Error &error);
     void failed(const Error &error);
     bool mayRetry(const VerdictRule &rule, const Error &error);
@@ -89,12 +89,12 @@
     Options m_options;
     RequestContext &m_request;
     HttpExchange &m_exchange;
-    HttpHeaders m_headers; ///< Of the caller's request, to be passed on.
+    HttpHeaders m_headers; ///< Headers of the caller's request that are forwarded.
     Job m_job;
     bool m_placed = false; ///< The pool counts this request as running.
     Assignment m_assignment;
     ClaimPtr m_claim;
-    std::string m_upstreamId; ///< One for each attempt, so that a late answer fits no other.
+    std::string m_upstreamId; ///< Unique for each attempt, so that a late answer matches no other one.
     HttpCallPtr m_call;
     HttpHead m_head;
     std::string m_answer;
@@ -102,10 +102,10 @@
     Timer m_heartbeat;
     TimePoint m_started;
     TimePoint m_firstByte;
-    std::string m_fingerprint; ///< Empty until it is needed.
-    int m_endedUpstreams = 0; ///< Under attempts of this request.
-    bool m_freshConnection = false; ///< A pooled one was silent.
-    bool m_direct = false; ///< The owner is draining: go to the engine without it.
+    std::string m_fingerprint; ///< Computed on first use.
+    int m_endedUpstreams = 0; ///< Upstreams that crashed during attempts of this request.
+    bool m_freshConnection = false; ///< A pooled connection must not be used.
+    bool m_direct = false; ///< The owner is draining: send to the engine directly.
     bool m_callerLeft = false;
     bool m_closed = false;
 };
--- a/src/Net/Forwarder.cpp
+++ b/src/Net/Forwarder.cpp
@@ -32,7 +32,7 @@
     ClaimPump claims;
     std::map<std::string, std::unique_ptr<Dispatcher>> pools;
     std::set<std::shared_ptr<ForwardTask>> tasks;
-    std::size_t buffered = 0; ///< Bytes held for all callers.
+    std::size_t buffered = 0; ///< Bytes buffered for all callers.
     JobId nextJob = 1;
     Timer pollTimer;
 };
@@ -43,7 +43,8 @@
                .metrics = options.metrics,
                .runEnded =
                        [this](const CrashWatch::BrokenRun &it, TimePoint endedAt) {
-                           // An upstream is known by its address, whatever process runs there.
+                           // The name of an upstream does not change with its process, so the time of the
+                           // crash tells several crashes apart.
                            const auto ms =
                                    endedAt.time_since_epoch() / std::chrono::milliseconds(1);
                            quarantine.replicaCrashed(it.fingerprint,
@@ -124,7 +125,7 @@
                                  .request = std::move(request),
                                  .exchange = std::move(exchange),
                                  .closed = [this](const std::shared_ptr<ForwardTask> &it) {
-                                     // Freed later: its own hooks may be on the stack.
+                                     // Destroyed later: its own callbacks may be on the stack.
                                      options.loop.post([it] {});
                                      tasks.erase(it);
                                      schedulePoll();
@@ -146,8 +147,8 @@
         if (own && it.name == token.value().engine)
             return std::pair(std::move(token.value()), it.address);
     }
-    // Also the answer to another workspace's token, which must not learn that there is a stream.
-    return Error{.reason = Reason::NotFound, .detail = "there is no such stream"};
+    // A token of another workspace gets the same answer, which must not reveal that the stream exists.
+    return Error{.reason = Reason::NotFound, .detail = "the stream does not exist"};
 }
 
 void Forwarder::Private::resume(const RequestPtr &request, const HttpExchangePtr &exchange)
--- a/src/Net/Forwarder.h
+++ b/src/Net/Forwarder.h
@@ -21,7 +21,7 @@
 class EventLoop;
 class HttpClient;
 
-/// \brief Sends requests that passed the filters to an upstream and brings the answer back.
+/// \brief Forwards requests that passed the filters to an upstream and returns the answers.
 class Forwarder
 {
 public:
@@ -35,21 +35,21 @@
         TableService &table;
         ObjectStore &objects;
         RandomSource random;
-        /// Answers a request that ends without an upstream's answer.
+        /// Answers a request for which there is no answer of an upstream.
         std::function<void(const RequestPtr &, const HttpExchangePtr &, const Error &)> refuse;
-        /// Told of each chat that an upstream answered to this router directly.
+        /// Called for each chat that an upstream answered to this router directly.
         std::function<void(const RequestContext &, std::string_view upstream)> served = {};
     };
 
     explicit Forwarder(Options options);
     ~Forwarder();
 
-    /// \brief Takes over a new inventory; requests in progress keep theirs.
+    /// \brief Applies a new inventory; requests in progress keep the one that they started with.
     void setInventory(const InventoryPtr &inventory);
 
     void forward(RequestPtr request, HttpExchangePtr exchange);
 
-    /// \returns requests that have not got their whole answer.
+    /// \returns the number of requests whose answer is not complete.
     std::size_t inProgress() const;
 
     /// \returns the ids of these requests.
--- a/src/Net/HttpClient.cpp
+++ b/src/Net/HttpClient.cpp
@@ -15,14 +15,16 @@
 
 namespace {
 
-/// Idle connections kept for one upstream; more than this only hold memory at both ends.
+/// Idle connections kept for one upstream. More of them would only occupy memory at both ends.
 constexpr std::size_t MaxIdlePerAddress = 64;
 
-/// Idle connections older than this are not trusted: upstreams and middleboxes drop them silently.
+/// Connections that were idle for longer are not reused: upstreams and middleboxes drop them without
+/// notice.
 constexpr Duration MaxIdleAge = std::chrono::seconds(20);
 
-/// Part of the time granted by Keep-Alive after which a connection is not used any more. A request
-/// that crosses the upstream's close may not be sent again if it is not idempotent.
+/// A connection is reused only until the time in the Keep-Alive header divided by this number. A
+/// request that is sent while the upstream closes the connection cannot be retried unless it is
+/// idempotent.
 constexpr int KeepAlivePart = 2;
 
 struct IdleConnection
@@ -35,7 +37,7 @@
 struct TakenConnection
 {
     std::unique_ptr<HttpConnection> connection;
-    Duration rested = Duration::zero(); ///< Zero: it is new.
+    Duration rested = Duration::zero(); ///< Zero for a new connection.
 };
 
 } // namespace
@@ -58,7 +60,7 @@
     std::map<std::string, std::deque<IdleConnection>> idle;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    /// Secure and plain connections to one address are never mixed up.
+    /// Secure and plain connections to one address are kept in separate pools.
     static std::string poolKey(const HttpCall &call)
     {
         return (call.secure ? "tls " : "") + call.address;
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A connection may not be freed from within its own callbacks.
+    /// A connection must not be destroyed from within its own callbacks.
     void retire(std::unique_ptr<HttpConnection> connection)
     {
         loop.post([held = std::shared_ptr<HttpConnection>(std::move(connection))] {});
@@ -108,7 +110,7 @@
 
 namespace {
 
-/// One call on one connection; gives the connection back when it ends.
+/// One call on one connection; returns the connection to the pool when the call ends.
 class Call final : public HttpCallHandle
 {
 public:
@@ -172,8 +174,8 @@
     }
 
 private:
-    /// Only takes the time: moving a timer with every token of a stream would cost more than
-    /// relaying the token.
+    /// Only stores the time: restarting a timer for every token of a stream would cost more than
+    /// forwarding the token.
     void noteProgress() { m_lastProgress = m_loop.now(); }
 
     void noteFirstByte()
@@ -200,7 +202,7 @@
         m_connection->mute();
         finish(Error{.reason = Reason::UpstreamUnreachable,
                      .verdict = Verdict::NotRun,
-                     .detail = "no connection in time",
+                     .detail = "no connection within the connect timeout",
                      .retryAfter = {}});
     }
 
@@ -210,7 +212,7 @@
         m_connection->mute();
         finish(Error{.reason = Reason::UpstreamTimeout,
                      .verdict = verdict,
-                     .detail = "no answer in time",
+                     .detail = "the answer timed out",
                      .retryAfter = {}});
     }
 
@@ -230,7 +232,7 @@
     HttpCallEvents m_events;
     GiveBack m_giveBack;
     Duration m_progressTimeout;
-    Duration m_silenceLimit; ///< Longer until the first byte of the body, where that was asked for.
+    Duration m_silenceLimit; ///< Includes firstByteTimeout until the first byte of the body.
     bool m_paused = false;
     TimePoint m_lastProgress;
     EventLoop &m_loop;
@@ -276,8 +278,8 @@
                   .onData = [state](std::string_view data) { state->answer.body += data; },
                   .onEnd =
                           [this, state, done = std::move(done)](const Result<void> &result) {
-                              // Released later: the handle is still on the stack, and its hooks
-                              // hold this state.
+                              // Destroyed later: the handle is still on the stack, and its
+                              // callbacks own this state.
                               m_d->loop.post([held = std::shared_ptr<HttpCallHandle>(
                                                       std::move(state->handle))] {});
                               if (result)
--- a/src/Net/HttpClient.h
+++ b/src/Net/HttpClient.h
@@ -21,17 +21,17 @@
     std::string target = "/"; ///< Path and query.
     HttpHeaders headers = {};
     std::string body = {};
-    Duration timeout = std::chrono::seconds(30); ///< From now to the last byte of the answer.
-    Duration progressTimeout = Duration::zero(); ///< Longest silence; zero: only `timeout`.
-    Duration firstByteTimeout = Duration::zero(); ///< The same before the body; zero: no other.
-    std::size_t maxBodyBytes = 16 * 1024 * 1024; ///< Longest answer taken.
-    Duration connectTimeout = Duration::zero(); ///< Until the first byte leaves; zero: `timeout`.
-    bool freshConnection = false; ///< Never reuses a connection, which may have gone silent.
-    /// Oldest idle connection that is reused; besides, half of what the upstream's Keep-Alive
-    /// grants is the limit.
+    Duration timeout = std::chrono::seconds(30); ///< Until the last byte of the answer.
+    Duration progressTimeout = Duration::zero(); ///< Longest time without data; zero: unlimited.
+    Duration firstByteTimeout = Duration::zero(); ///< Replaces a smaller `progressTimeout` before the body.
+    std::size_t maxBodyBytes = 16 * 1024 * 1024; ///< Longest answer that is accepted.
+    Duration connectTimeout = Duration::zero(); ///< Until the first byte is sent; zero: `timeout`.
+    bool freshConnection = false; ///< Reuses no idle connection, which may be broken.
+    /// Connections that were idle for this long are not reused. Half of the time in the upstream's
+    /// Keep-Alive header is a further limit.
     Duration maxIdleAge = std::chrono::seconds(20);
-    bool takesUnframed = false; ///< An answer may state no length and end with its connection.
-    bool secure = false; ///< Over TLS, to an upstream whose certificate names its address.
+    bool takesUnframed = false; ///< Accepts an answer without a length that ends with its connection.
+    bool secure = false; ///< Uses TLS; the certificate of the upstream must name its address.
 };
 
 /// \brief Status and headers of an answer.
@@ -40,19 +40,19 @@
     int status = 0;
     HttpHeaders headers;
 
-    /// \returns the value of \a name, compared without case; empty where it is missing.
+    /// \returns the value of the header \a name, compared without case; empty if it is missing.
     std::string_view header(std::string_view name) const;
 };
 
-/// \brief A whole answer.
+/// \brief A complete answer.
 struct HttpAnswer
 {
     HttpHead head;
     std::string body;
 };
 
-/// \brief What the sender of a call is told, in this order. onEnd comes exactly once, unless the
-/// call is cancelled; its error says by Verdict whether a byte may have left.
+/// \brief Callbacks of a call, in the order in which they are called. onEnd is called exactly once,
+/// unless the call is cancelled. The verdict of its error states whether a byte may have been sent.
 struct HttpCallEvents
 {
     std::function<void(const HttpHead &)> onHead = {};
@@ -66,11 +66,11 @@
 public:
     virtual ~HttpCallHandle() = default;
 
-    /// \brief Stops reading from the upstream until resume(), for callers that read slowly.
+    /// \brief Stops reading from the upstream until resume(), while the receiver reads slowly.
     virtual void pause() = 0;
     virtual void resume() = 0;
 
-    /// \returns how long its connection had rested before; zero for a new one.
+    /// \returns how long the connection was idle before the call; zero for a new connection.
     virtual Duration rested() const = 0;
 };
 
@@ -80,23 +80,23 @@
 class HttpClient
 {
 public:
-    /// \param tls for secure calls; without it they fail as not run.
+    /// \param tls used for secure calls; without it they fail with Verdict::NotRun.
     explicit HttpClient(EventLoop &loop, const TlsContext *tls = nullptr);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// \brief Sends \a call. Events come later, never from within this function.
+    /// \brief Sends \a call. The callbacks are never called from within this function.
     HttpCallPtr send(HttpCall call, HttpCallEvents events);
 
-    /// \brief Sends \a call and collects the answer; nobody can cancel it.
+    /// \brief Sends \a call and collects the answer. The call cannot be cancelled.
     void fetch(HttpCall call, std::function<void(Result<HttpAnswer>)> done);
 
-    /// \brief Closes the idle connections to \a address, because one that came the same way went
-    /// silent. None is opened in their place: new ones come with the requests that need them.
+    /// \brief Closes the idle connections to \a address, used after a connection over the same
+    /// network path failed. They are not replaced: requests open new connections as needed.
     void dropIdle(const std::string &address);
 
-    /// \returns idle connections kept for reuse.
+    /// \returns the number of idle connections kept for reuse.
     std::size_t idleConnections() const;
 
 private:
--- a/src/Net/StreamRelay.cpp
+++ b/src/Net/StreamRelay.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// New connections that may fail in a row before the engine itself is blamed, a moment apart: a
-/// path that forgot one connection takes the next one.
+/// Consecutive new connections that may fail before the engine counts as failed, RetryDelay apart. A
+/// network path that dropped the state of one connection usually accepts the next one.
 constexpr int MaxFailures = 3;
 constexpr Duration RetryDelay = std::chrono::milliseconds(100);
 
-/// Resumes without a token in between. Reading a long prompt takes most of a minute, in which the
-/// engine answers each resume but has no token yet.
+/// Resume attempts without a token in between. Processing a long prompt takes most of a minute, in
+/// which the engine answers each resume request but has no token yet.
 constexpr int MaxIdleResumes = 20;
 
 Error broken(std::string detail)
@@ -52,7 +52,8 @@
         const StreamCursor::Disposition step =
                 m_gap ? StreamCursor::Disposition::Gap : m_cursor.take(it);
         m_gap = step == StreamCursor::Disposition::Gap;
-        // Heartbeats of the router behind this one; its tokens may still have to come from another.
+        // Heartbeats of the next router are not forwarded: the tokens may still come from another
+        // upstream.
         const bool heartbeat = it.text.starts_with(':');
         if (step == StreamCursor::Disposition::Deliver && !heartbeat && !m_whole) {
             out += it.text;
@@ -106,7 +107,8 @@
         m_call->resume();
 }
 
-/// A caller that reads slowly is waited for; one that reads nothing holds a place on an engine.
+/// A caller that reads slowly keeps its stream. A caller that reads nothing is disconnected, since
+/// its stream occupies a slot of an engine.
 void StreamRelay::checkCaller()
 {
     countBacklog();
@@ -146,12 +148,13 @@
     const bool numbered = m_cursor.last() >= 0 || !m_delivered;
     if (!m_options.source || !numbered || left <= Duration::zero()
         || ++m_idleResumes > MaxIdleResumes) {
-        finish(broken("the stream broke and can't be resumed"));
+        finish(broken("the stream broke and cannot be resumed"));
         return;
     }
     m_resuming = true;
-    // Silence in the middle of a stream points at the path, and what is idle towards this address
-    // came the same way. Before the first token the engine may just be reading the prompt.
+    // If data stops in the middle of a stream, the network path has probably failed, and with it the
+    // idle connections to this address. Before the first token the engine may just be processing the
+    // prompt.
     if (m_delivered)
         m_options.client.dropIdle(m_options.source->address);
     HttpCall call{.address = m_options.source->address,
@@ -180,7 +183,7 @@
     }
     finish(Error{.reason = head.status == 404 ? Reason::NotFound : Reason::AnswerMismatch,
                  .verdict = Verdict::MayHaveRun,
-                 .detail = "the engine does not have this stream any more"});
+                 .detail = "the engine no longer has this stream"});
 }
 
 void StreamRelay::resumeFailed(Error error)
@@ -189,7 +192,7 @@
         m_retry.start(RetryDelay);
         return;
     }
-    // Whatever happened on this connection, the request itself was sent before.
+    // Whatever the verdict of this connection, the request itself was sent earlier.
     error.verdict = Verdict::MayHaveRun;
     finish(std::move(error));
 }
@@ -205,8 +208,8 @@
         finish(Error{.reason = Reason::CallerGone, .verdict = Verdict::MayHaveRun});
         return;
     }
-    // The connection stays open: the engine closes it when another router takes the stream up, and
-    // then it must not be cancelled.
+    // The connection stays open: the engine closes it when another router resumes the stream, which
+    // must not be cancelled then.
     m_call->resume();
     m_grace.start(m_options.progressTimeout);
 }
--- a/src/Net/StreamRelay.h
+++ b/src/Net/StreamRelay.h
@@ -13,10 +13,10 @@
 
 namespace catkinloft {
 
-/// \brief Brings one stream to its caller, over as many connections to its engine as that takes.
+/// \brief Forwards one stream to its caller and resumes it on new connections to its engine.
 ///
-/// A silent or broken connection says nothing about the engine: the stream is taken up on a new
-/// one, behind the last token delivered, and only failures of new connections end it.
+/// A connection that broke or timed out does not show that the engine failed. The stream is resumed
+/// on a new connection after the last token delivered; only failures of new connections end it.
 class StreamRelay
 {
 public:
@@ -25,7 +25,7 @@
     {
         std::string address;
         std::string upstreamId;
-        bool cancellable = true; ///< false: another router answers for it and cancels.
+        bool cancellable = true; ///< false: another router forwards the stream and cancels it.
     };
 
     struct Options
@@ -34,14 +34,14 @@
         HttpClient &client;
         Metrics &metrics;
         const Settings &settings;
-        std::size_t &buffered; ///< Bytes held for all callers of the process.
+        std::size_t &buffered; ///< Bytes buffered for all callers of the process.
         HttpExchangePtr exchange;
-        HttpHeaders head; ///< Of the caller's answer.
-        std::optional<Source> source; ///< Nothing: it can't be resumed.
+        HttpHeaders head; ///< Headers of the answer to the caller.
+        std::optional<Source> source; ///< Empty if the stream cannot be resumed.
         Duration progressTimeout;
         TimePoint deadline;
         std::int64_t lastEventId = -1;
-        /// Called once: success after the end marker was delivered, else why it ended.
+        /// Called once: with success after the end marker was delivered, else with the error.
         std::function<void(Result<void>)> done;
     };
 
@@ -50,19 +50,19 @@
     StreamRelay(const StreamRelay &) = delete;
     StreamRelay &operator=(const StreamRelay &) = delete;
 
-    /// \brief Goes on with a call that has begun to answer; its events come to data() and ended().
+    /// \brief Takes over a call whose answer has begun; its events are passed to data() and ended().
     void adopt(HttpCallPtr call) { m_call = std::move(call); }
     void data(std::string_view data);
     void ended(const Result<void> &result);
 
-    /// \brief Takes the stream up on a new connection.
+    /// \brief Resumes the stream on a new connection.
     void resume();
 
-    /// \brief The caller has gone. It may come back on any router for a while; then the engine is
-    /// told to stop.
+    /// \brief Handles that the caller has left. It may resume the stream on any router during the
+    /// progress timeout; after that the stream is cancelled at the engine.
     void callerLeft();
 
-    /// \returns whether the caller has been sent anything.
+    /// \returns whether any data was sent to the caller.
     bool delivered() const { return m_delivered; }
 
 private:
@@ -83,11 +83,11 @@
     Timer m_retry;
     Timer m_slow;
     Timer m_grace;
-    std::size_t m_counted = 0; ///< Of `buffered`, for this caller.
+    std::size_t m_counted = 0; ///< Share of `buffered` of this caller.
     std::size_t m_lastBacklog = 0;
-    int m_failures = 0; ///< New connections in a row that did not answer.
-    int m_idleResumes = 0; ///< Resumes since the last token.
-    bool m_resuming = false; ///< The connection at hand has not answered yet.
+    int m_failures = 0; ///< Consecutive new connections that failed.
+    int m_idleResumes = 0; ///< Resume attempts since the last token.
+    bool m_resuming = false; ///< The current connection has not answered yet.
     bool m_delivered = false;
     bool m_whole = false;
     bool m_gap = false;
