--- a/src/Net/EntryCall.h
+++ b/src/Net/EntryCall.h
@@ -48,8 +48,8 @@
     /// Called when a process other than replica \a id answers at \a address that it is leaving.
     std::function<void(const std::string &address, const std::string &id)> othersLeave =
             [](const std::string &, const std::string &) {};
-    std::function<void()> replicaEjected =
-            {}; ///< Announces the ejection to the other routers at once.
+    /// Announces the ejection to the other routers at once.
+    std::function<void()> replicaEjected = {};
     std::function<Duration()> proofAge = {}; ///< Proof age of the configuration, for the log.
     std::function<void(const RequestEvent &)> report = logRequestEvent;
 };
@@ -141,11 +141,11 @@
     ReplicaRecord m_replica;
     std::string m_incarnation; ///< Incarnation of m_replica.
     TimePoint m_attemptBegan;
-    TimePoint
-            m_heardAt; ///< When the last byte of the answer arrived, else when the attempt started.
+    /// When the last byte of the answer arrived, else when the attempt started.
+    TimePoint m_heardAt;
     std::optional<Duration> m_firstByte; ///< Time from the start of this attempt to its first byte.
-    Duration m_stallLimit =
-            Duration::zero(); ///< Time without data after which the stream counts as stalled.
+    /// Time without data after which the stream counts as stalled.
+    Duration m_stallLimit = Duration::zero();
     bool m_heardEvent = false; ///< This attempt has received an event of the stream.
     bool m_readsWholePrompt = false; ///< The replica is not known to cache any part of the prompt.
     AttemptHistory m_sendings;
--- a/src/Net/ForwardTask.h
+++ b/src/Net/ForwardTask.h
@@ -94,8 +94,8 @@
     bool m_placed = false; ///< The pool counts this request as running.
     Assignment m_assignment;
     ClaimPtr m_claim;
-    std::string
-            m_upstreamId; ///< Unique for each attempt, so that a late answer matches no other one.
+    /// Unique for each attempt, so that a late answer matches no other one.
+    std::string m_upstreamId;
     HttpCallPtr m_call;
     HttpHead m_head;
     std::string m_answer;
--- a/src/Net/HttpClient.h
+++ b/src/Net/HttpClient.h
@@ -22,18 +22,18 @@
     HttpHeaders headers = {};
     std::string body = {};
     Duration timeout = std::chrono::seconds(30); ///< Until the last byte of the answer.
-    Duration progressTimeout =
-            Duration::zero(); ///< Longest time without data; zero: only `timeout`.
-    Duration firstByteTimeout =
-            Duration::zero(); ///< Replaces a smaller `progressTimeout` before the body.
+    /// Longest time without data; zero: only `timeout`.
+    Duration progressTimeout = Duration::zero();
+    /// Replaces a smaller `progressTimeout` before the body.
+    Duration firstByteTimeout = Duration::zero();
     std::size_t maxBodyBytes = 16 * 1024 * 1024; ///< Longest answer that is accepted.
     Duration connectTimeout = Duration::zero(); ///< Until the first byte is sent; zero: `timeout`.
     bool freshConnection = false; ///< Reuses no idle connection, which may be broken.
     /// Connections that were idle for this long are not reused. Half of the time in the upstream's
     /// Keep-Alive header is a further limit.
     Duration maxIdleAge = std::chrono::seconds(20);
-    bool takesUnframed =
-            false; ///< Accepts an answer without a length that ends with its connection.
+    /// Accepts an answer without a length that ends with its connection.
+    bool takesUnframed = false;
     bool secure = false; ///< Uses TLS; the certificate of the upstream must name its address.
 };
 
--- a/src/Net/LogWriter.h
+++ b/src/Net/LogWriter.h
@@ -25,8 +25,8 @@
     {
         EventLoop &loop;
         int fd = 1;
-        std::size_t capacity =
-                256 * 1024; ///< Buffer size in bytes; two seconds of lines at full load.
+        /// Buffer size in bytes; two seconds of lines at full load.
+        std::size_t capacity = 256 * 1024;
         Duration interval = std::chrono::milliseconds(200); ///< Longest delay of a line.
     };
 
--- a/src/Net/WireCodec.h
+++ b/src/Net/WireCodec.h
@@ -21,8 +21,8 @@
     /// Time for which the replica wants no requests from this router; only in an answer that
     /// refuses a request.
     std::optional<Duration> pause = {};
-    std::optional<ReplicaLoad> load =
-            {}; ///< Load of the replica when it answered, if it reports one.
+    /// Load of the replica when it answered, if it reports one.
+    std::optional<ReplicaLoad> load = {};
 };
 
 /// \brief One attempt of a request.
@@ -42,8 +42,8 @@
     std::function<CallFacts(const HttpHeaders &)> decodeRequest;
     std::function<HttpHeaders(const Dispatch &)> encodeRequest;
     std::function<AnswerFacts(const HttpHead &)> decodeAnswer;
-    std::function<HttpHeaders(const HttpHead &)>
-            passedAnswerHeaders; ///< Headers that the caller receives.
+    /// Headers that the caller receives.
+    std::function<HttpHeaders(const HttpHead &)> passedAnswerHeaders;
     std::function<HttpHeaders(const EntryRequest &)> ownAnswerHeaders; ///< Headers of a refusal.
 };
 
--- a/src/Net/internal/HttpConnection.h
+++ b/src/Net/internal/HttpConnection.h
@@ -76,8 +76,8 @@
     int m_errorCode = -1;
     bool m_reusable = true;
     bool m_noSession = false; ///< TLS was requested, but no session could be created.
-    std::shared_ptr<bool>
-            m_listening; ///< Reset when the posted call of onEnd must not happen any more.
+    /// Reset when the posted call of onEnd must not happen any more.
+    std::shared_ptr<bool> m_listening;
 };
 
 } // namespace catkinloft::internal
--- a/test/EntryRequestTest.cpp
+++ b/test/EntryRequestTest.cpp
@@ -146,8 +146,8 @@
                      },
              .replicaCrashed = [this](const std::string &it) { pools.noteEnded(it, 3s); }}};
     bool refusesNew = false;
-    std::vector<RequestEvent>
-            events; ///< Declared before the gateway, whose calls report until it is destroyed.
+    /// Declared before the gateway, whose calls report until it is destroyed.
+    std::vector<RequestEvent> events;
     EntryGateway gateway{{.loop = loop,
                           .client = client,
                           .metrics = metrics,
--- a/test/ListenerInputTest.cpp
+++ b/test/ListenerInputTest.cpp
@@ -68,8 +68,8 @@
 {
     const char *name;
     std::string text;
-    const char
-            *answer; ///< Start of the expected answer; empty: the connection is closed without one.
+    /// Start of the expected answer; empty: the connection is closed without one.
+    const char *answer;
 };
 
 std::vector<BadInput> badInputs()
