--- a/src/Request/ClaimManager.cpp
+++ b/src/Request/ClaimManager.cpp
@@ -13,29 +13,32 @@
 
 namespace {
 
-/// A key is remembered this long. Callers repeat a call within minutes; a day covers a shift that
-/// finds out in the morning. It is far beyond the longest deadline (an hour) plus any error of the
-/// routers' calendars, so no holder can still send when its row goes.
+/// How long the row of a completed call is retained. Callers retry within minutes; one day also
+/// covers an operator who notices a failed call on the next morning. It exceeds the longest
+/// deadline (one hour) plus any error of the routers' wall clocks, so no holder can still send when
+/// its row is removed.
 constexpr auto Retention = 24h;
 
-/// Rows whose outcome nobody knows stay longer: a person has to find out before the key is free.
+/// How long rows with an unknown outcome are retained. They stay longer because a person has to
+/// find out what happened before the key can be used again.
 constexpr auto UnknownOutcomeRetention = 30 * 24h;
 
-/// A free row only has to outlast late effects of the store's writes.
+/// How long free rows are retained: only until no earlier write can take effect late any more.
 constexpr auto FreeRetention = 1h;
 
-/// Bodies up to this length travel in the row. Acknowledgements are far shorter, and 64 rows of it
-/// make a transaction of 1 MB.
+/// Longer bodies are written to the object store instead of the row. Acknowledgements are far
+/// shorter, and 64 rows of this size make a transaction of 1 MB.
 constexpr std::size_t MaxInlineBody = 16 * 1024;
 
-/// Outcomes held for a store that is down: 1,000 of 16 KB are 16 MB, and at 11 calls a second and
-/// router they last for a minute and a half. What does not fit ends as outcome_unknown.
+/// Maximum number of outcomes that are kept in memory while the store is unavailable. 1,000
+/// outcomes of 16 KB take 16 MB and cover an outage of 90 seconds at 11 calls per second and
+/// router. An outcome that does not fit is dropped, and retries of its call get outcome_unknown.
 constexpr std::size_t MaxPendingOutcomes = 1000;
 
 constexpr Duration FirstBackoff = 100ms;
 constexpr Duration MaxBackoff = 5s;
 
-/// When a caller is asked to come back for the outcome of a call in progress.
+/// Retry-After of a call that is still in progress or whose outcome can't be read now.
 constexpr Duration InProgressRetryAfter = 1s;
 
 Error unknownOutcome(std::string detail)
@@ -50,7 +53,7 @@
 {
     return {.reason = Reason::ClaimInProgress,
             .verdict = Verdict::MayHaveRun,
-            .detail = "repeat with the same key to get the first attempt's answer",
+            .detail = "the call is in progress; retry with the same key to get its answer",
             .retryAfter = retryAfter,
             .rule = "claims.one_holder"};
 }
@@ -58,7 +61,7 @@
 Error keyReused()
 {
     return {.reason = Reason::KeyReused,
-            .detail = "this key was used for another method, path or body",
+            .detail = "the idempotency key was already used with another method, path or body",
             .rule = "claims.one_request_per_key"};
 }
 
@@ -88,7 +91,7 @@
                                       std::string_view body)
 {
     constexpr std::size_t Digits = 32;
-    // Lengths keep the parts apart.
+    // The lengths make the concatenation unambiguous.
     return sha256Hex(fmt::format("{}:{}:{}:{}:{}", method.size(), target.size(), method, target,
                                  body))
             .substr(0, Digits);
@@ -96,7 +99,7 @@
 
 ClaimPtr ClaimManager::makeClaim(const Request &request) const
 {
-    // The time before the commit counts: the row may exist from now on.
+    // Read the clocks before the commit, since the row may exist from now on.
     const TimePoint now = m_options.clock.now();
     const WallTime wall = m_options.clock.wallNow();
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - now);
@@ -123,21 +126,21 @@
             .object = {}};
 }
 
-/// A retry on the router that holds the claim needs no write, and gets an answer even while the
-/// store is down.
+/// Answers a retry on the router that holds the claim itself. This needs no write and works even
+/// while the store is unavailable.
 bool ClaimManager::answerLocally(const ClaimPtr &claim, const ClaimCallback &callback)
 {
     const auto it = m_pendingOutcomes.find(claim->rowKey);
     if (it != m_pendingOutcomes.end()) {
         const ClaimRow &row = it->second.row;
         if (row.state == ClaimRow::State::Free)
-            callback(storeDown("the claim of an earlier attempt is still being withdrawn"));
+            callback(storeDown("the claim of an earlier attempt is still being released"));
         else if (row.fingerprint != claim->fingerprint)
             callback(keyReused());
         else if (row.state == ClaimRow::State::Done)
             callback(Grant{.claim = nullptr, .answer = row.answer});
         else
-            callback(unknownOutcome("the first attempt was sent and got no whole answer"));
+            callback(unknownOutcome("the first attempt was sent and got no complete answer"));
         return true;
     }
     const auto openClaim = m_openClaims.find(claim->rowKey);
@@ -181,8 +184,8 @@
     const ClaimPtr &claim = pending->claim;
     if (!result) {
         m_openClaims.erase(claim->rowKey);
-        // The row may come into being, even later, but this attempt will not send any more: "not
-        // run" is true, and stays so for a retry once the claim is withdrawn.
+        // The write may still take effect, even later. This attempt sends nothing, so `not_run` is
+        // correct, and it stays correct for a retry once the claim is released.
         if (result.error().verdict != Verdict::NotRun)
             release(claim);
         complete(pending, storeDown(result.error().detail));
@@ -195,7 +198,8 @@
             complete(pending, Grant{.claim = claim});
         } else {
             release(claim);
-            complete(pending, storeDown("the claim was recorded too late"));
+            complete(pending,
+                     storeDown("the claim was recorded after the deadline or store timeout"));
         }
     }
 }
@@ -233,10 +237,10 @@
     else if (row.state == ClaimRow::State::Claimed)
         complete(pending,
                  unknownOutcome(fmt::format("router {} claimed the call and recorded no "
-                                            "outcome within its deadline",
+                                            "outcome before its deadline",
                                             row.router)));
     else
-        complete(pending, unknownOutcome("the first attempt was sent and got no whole answer"));
+        complete(pending, unknownOutcome("the first attempt was sent and got no complete answer"));
 }
 
 void ClaimManager::replay(const PendingClaimPtr &pending, const ClaimRow &row)
@@ -259,7 +263,7 @@
                 complete(pending,
                          Error{.reason = Reason::OutcomeUnknown,
                                .verdict = Verdict::Ran,
-                               .detail = "the call ran; its recorded answer can't be read",
+                               .detail = "the call ran, but its recorded answer can't be read",
                                .retryAfter = InProgressRetryAfter});
             });
 }
@@ -346,13 +350,13 @@
     const PendingOutcome &it = m_pendingOutcomes.at(rowKey);
     const TableRow &current = result.value().current;
     if (!result.value().committed && holdsClaim(current, *it.claim)) {
-        // The claim's own write took effect after all.
+        // The write that created the claim took effect late; its version is only known now.
         it.claim->version = current.version;
         submitOutcome(rowKey);
         return;
     }
     if (!result.value().committed && it.row.state != ClaimRow::State::Free) {
-        // Only the sweeper changes another's row, so this outcome came after its expiry.
+        // Only ClaimSweeper changes rows of other holders, so the claim had expired before.
         m_options.metrics.count("catkinloft_claim_outcomes_dropped_total");
         Log::warning("claim_outcome_dropped", {{"row", rowKey}});
     }
@@ -383,7 +387,7 @@
     const TimePoint now = m_options.clock.now();
     m_committer.poll();
     while (!m_pendingClaims.empty() && m_pendingClaims.begin()->first <= now) {
-        // What is still under way is released by handleClaimWrite() when it settles.
+        // A write that is still in flight is released by handleClaimWrite() when it ends.
         complete(PendingClaimPtr(m_pendingClaims.begin()->second),
                  storeDown("the store did not answer in time"));
     }
--- a/test/ActiveConfigTest.cpp
+++ b/test/ActiveConfigTest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_olderRevisionRead_neverComesBack")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_olderRevisionRead_isNotActivated")
 {
     int changes = 0;
     config.changed().connect([&](const RouteConfigPtr &) { ++changes; });
@@ -34,7 +34,7 @@
     CHECK(changes == 1);
 }
 
-TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_proof_isAsOldAsTheBeginningOfItsRead")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_proof_isDatedByTheStartOfItsRead")
 {
     CHECK(config.proofAge() == Duration::max());
     const TimePoint began = clock.now();
@@ -47,7 +47,7 @@
     CHECK(config.proofAge() == 0s);
 }
 
-TEST_CASE_FIXTURE(ActiveConfigFixture, "configInForce_confirmationOfAnotherRevision_provesNothing")
+TEST_CASE_FIXTURE(ActiveConfigFixture, "activeConfig_confirmationOfAnotherRevision_provesNothing")
 {
     config.accept(revision(7), clock.now());
     clock.advance(4s);
--- a/test/EngineTrackerTest.cpp
+++ b/test/EngineTrackerTest.cpp
@@ -56,16 +56,16 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_laggingReports_haveAnAgeAndAreForgotten")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "engineTracker_delayedReports_haveAnAgeAndExpire")
 {
     CHECK_FALSE(tracker.hint("e1"));
     tracker.recordLoad("e1", load(5, 3s));
     clock.advance(2s);
     REQUIRE(tracker.hint("e1"));
     CHECK(tracker.hint("e1")->age == 5s);
-    tracker.recordLoad("e1", load(9, 8s)); // Crossed on its way with the younger one.
+    tracker.recordLoad("e1", load(9, 8s)); // Overtaken by the more recent report.
     CHECK(tracker.hint("e1")->load == 5);
-    tracker.recordLoad("e2", load(1, -1h)); // A clock that runs ahead.
+    tracker.recordLoad("e2", load(1, -1h)); // The engine's clock is ahead.
     CHECK(tracker.hint("e2")->age == 0s);
     clock.advance(11s);
     CHECK_FALSE(tracker.hint("e1"));
@@ -73,7 +73,7 @@
     CHECK_FALSE(tracker.hint("e1")->reachable);
 }
 
-TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_gapInCacheEvents_halvesWhatIsFromBefore")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "engineTracker_gapInCacheEvents_halvesTokensFromBefore")
 {
     tracker.applyEvents("e1",
                         {.events = {{.seq = 1, .chat = "a", .tokens = 100},
@@ -94,7 +94,7 @@
     CHECK(tracker.cachedTokens("e1", "c") == 0);
 }
 
-TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_restartedEngine_isBelievedToHoldNothing")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "engineTracker_restartedEngine_hasNoCachedChats")
 {
     tracker.applyEvents("e1", {.events = {{.seq = 9, .chat = "a", .tokens = 100}}, .next = 9});
     tracker.applyEvents("e1", {.events = {}, .next = 0});
@@ -103,7 +103,7 @@
     CHECK(tracker.cachedTokens("e1", "b") == 10);
 }
 
-TEST_CASE_FIXTURE(EngineTrackerFixture, "knowledge_moreChatsThanTheLimit_keepsTheLatest")
+TEST_CASE_FIXTURE(EngineTrackerFixture, "engineTracker_moreChatsThanTheLimit_keepsTheLatest")
 {
     for (const char *it : {"a", "b", "c", "d"})
         tracker.recordServed("e1", it, 1, 10);
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE_FIXTURE(EngineTrackerFixture,
-                  "poller_twoEnginesOneDown_readsThemInTurnAndSaysWhichIsDown")
+                  "poller_twoEnginesOneDown_readsBothAndReportsTheUnreachableOne")
 {
     FakeEngines engines;
     engines.machines["a1"].load = load(4);
@@ -139,7 +139,7 @@
     CHECK_FALSE(tracker.hint("e2")->reachable);
 }
 
-TEST_CASE("digest_tenThousandEngines_staysWithinItsSizeAndNamesTheWorst")
+TEST_CASE("digest_tenThousandEngines_staysWithinItsSizeAndListsTheWorst")
 {
     ManualClock clock;
     EngineTracker tracker({.clock = clock});
@@ -189,7 +189,8 @@
     CHECK(total == 1000); // Each engine has exactly one owner while the lists agree.
 }
 
-TEST_CASE_FIXTURE(EngineTrackerFixture, "kvMove_plannedLeave_copiesEachChatToTheNextInItsOrder")
+TEST_CASE_FIXTURE(EngineTrackerFixture,
+                  "kvCacheMigrator_engineLeaves_copiesEachChatToTheNextInItsOrder")
 {
     FakeEngines engines;
     Metrics metrics;
@@ -208,7 +209,7 @@
     engines.machines["10.0.0.1:80"].kv = {{"a", "blob-a"}, {"b", "blob-b"}};
     tracker.recordServed("e1", "a", 11, 10);
     tracker.recordServed("e1", "b", 12, 20);
-    tracker.recordServed("e1", "gone", 13, 5); // Evicted meanwhile: fails and does no harm.
+    tracker.recordServed("e1", "gone", 13, 5); // Evicted meanwhile: this copy fails.
     migrator.setInventory(inventory(false));
     CHECK(migrator.waiting() == 0);
     migrator.setInventory(inventory(true));
--- a/test/PeerCatchUpTest.cpp
+++ b/test/PeerCatchUpTest.cpp
@@ -18,14 +18,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_routerThatHasStarted_asksWhichPromptsAreKept")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_routerJustStarted_asksForCachedPrompts")
 {
     CHECK(catchUp.shouldFetchFrom(heartbeat, own));
     catchUp.promptsReceived(true);
     CHECK_FALSE(catchUp.shouldFetchFrom(heartbeat, own));
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peersKnowNoPrompts_asksAreBounded")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_peersKnowNoPrompts_asksABoundedNumberOfTimes")
 {
     int asks = 0;
     while (asks < 100 && catchUp.shouldFetchFrom(heartbeat, own)) {
@@ -49,7 +49,7 @@
     CHECK(catchUp.shouldFetchFrom(newer, own));
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_ownProofOld_onlyFreshPeersAreAsked")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_ownProofOld_asksOnlyPeersWithAFreshProof")
 {
     catchUp.promptsReceived(true);
     own.proofAge = 2600ms;
@@ -59,12 +59,12 @@
     CHECK(catchUp.maxPeerProofAge() == 2s);
 }
 
-TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigLimit_proofsMayBeOlder")
+TEST_CASE_FIXTURE(PeerCatchUpFixture, "peerCatchUp_longerConfigApplyLimit_allowsOlderProofs")
 {
-    PeerCatchUp patient({.configApplyLimit = 4s});
-    patient.promptsReceived(true);
+    PeerCatchUp withLongerLimit({.configApplyLimit = 4s});
+    withLongerLimit.promptsReceived(true);
     own.proofAge = 2600ms;
-    CHECK_FALSE(patient.shouldFetchFrom(heartbeat, own));
+    CHECK_FALSE(withLongerLimit.shouldFetchFrom(heartbeat, own));
     own.proofAge = 5100ms;
-    CHECK(patient.shouldFetchFrom(heartbeat, own));
+    CHECK(withLongerLimit.shouldFetchFrom(heartbeat, own));
 }
--- a/test/RequestQuarantineTest.cpp
+++ b/test/RequestQuarantineTest.cpp
@@ -23,7 +23,7 @@
 const std::vector<std::string> Old = {"svc v1"};
 const std::vector<std::string> New = {"svc v2"};
 
-/// Routers that decide for themselves and tell each other what they know.
+/// Routers that each have their own quarantine and announce their evidence to each other.
 struct QuarantineFleetFixture
 {
     QuarantineFleetFixture() : QuarantineFleetFixture(4) { }
@@ -42,7 +42,7 @@
                 }}));
     }
 
-    /// Every router tells all others once, over the wire format.
+    /// Every router sends its updates to all others once, in the wire format.
     void exchangeUpdates()
     {
         for (const auto &from : routers) {
@@ -60,9 +60,9 @@
         }
     }
 
-    /// A replica ends at router \a i while it runs all of \a requests.
-    void end(std::size_t i, std::initializer_list<std::string> requests,
-             const std::string &software = Old.front())
+    /// Router \a i observes that a replica crashes while it runs all of \a requests.
+    void crash(std::size_t i, std::initializer_list<std::string> requests,
+               const std::string &software = Old.front())
     {
         const std::string replica = fmt::format("i-{}", ++crashedCount);
         for (const std::string &it : requests)
@@ -80,18 +80,20 @@
     ManualClock clock;
     HeartbeatCodec codec;
     std::vector<std::unique_ptr<RequestQuarantine>> routers;
-    std::size_t bytes = 0; ///< Of the longest message so far.
+    std::size_t bytes = 0; ///< Size of the longest message so far.
     int crashedCount = 0;
 };
 
 } // namespace
 
-// Guards against a request that ends replicas at one router after the other without any knowing.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_threeReplicasEnd_allRoutersHoldItBack")
+// Guards against a request that crashes replicas via different routers, none of which observes
+// enough crashes to hold it back.
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_threeReplicasCrash_allRoutersHoldItBack")
 {
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(heldBy(Fatal) == 0);
-        end(i, {Fatal});
+        crash(i, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -103,11 +105,13 @@
     CHECK(heldBy(Innocent) == 0);
 }
 
-// Guards against refusing what many callers send, which is in progress on whatever ends.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_innocentCompletesBetweenEnds_isServed")
+// Guards against holding back a request that many callers send, which is in progress on any replica
+// that crashes.
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_innocentCompletesBetweenCrashes_isServed")
 {
     for (int i = 0; i < 20; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent});
+        crash(static_cast<std::size_t>(i) % 4, {Innocent});
         exchangeUpdates();
         clock.advance(600ms);
         CHECK(heldBy(Innocent) == 0);
@@ -117,12 +121,12 @@
     }
 }
 
-// Guards against taking what ran on a rack for the cause of its loss.
+// Guards against holding back the requests that were in progress on a lost rack.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_manyReplicasEndAtOnce_nothingIsHeldBack")
+                  "requestQuarantine_manyReplicasCrashAtOnce_nothingIsHeldBack")
 {
     for (int i = 0; i < 30; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
+        crash(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
         clock.advance(5ms);
     }
     exchangeUpdates();
@@ -130,18 +134,18 @@
     CHECK(heldBy(Fatal) == 0);
 }
 
-// Guards against holding back a request for ends that another one has caused.
+// Guards against holding back a request for crashes that another request caused.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_endsAreShared_onlyTheOneWithMoreIsHeld")
+                  "requestQuarantine_crashesAreShared_onlyTheOneWithMoreIsHeld")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i, {Innocent, Fatal});
+        crash(i, {Innocent, Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
-    end(3, {Fatal});
+    crash(3, {Fatal});
     exchangeUpdates();
     clock.advance(200ms);
     CHECK(heldBy(Innocent) == 0);
@@ -153,7 +157,7 @@
                   "requestQuarantine_routerStartsLater_learnsWhatIsHeldBack")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -166,11 +170,11 @@
     CHECK(heldBy(Fatal) == 5);
 }
 
-// Guards against a wave of trials, one from each router, once a request's time is over.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_timeIsOver_routersTryItInTurn")
+// Guards against simultaneous trials by all routers when the hold time of a request is over.
+TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_holdTimeIsOver_routersTryItInTurn")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -181,7 +185,7 @@
             if (routers[k]->admit(Fatal, Old))
                 continue;
             ++trials;
-            end(k, {Fatal});
+            crash(k, {Fatal});
             exchangeUpdates();
         }
         clock.advance(100ms);
@@ -193,7 +197,7 @@
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftware_isTriedAndServedAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -214,10 +218,11 @@
     CHECK(heldBy(Fatal, Old) == 0);
 }
 
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftwareEndsToo_isHeldBackAgain")
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_otherSoftwareCrashesToo_isHeldBackAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
+        crash(0, {Fatal});
         exchangeUpdates();
         clock.advance(400ms);
     }
@@ -227,7 +232,7 @@
             if (routers[k]->admit(Fatal, New))
                 continue;
             ++trials;
-            end(k, {Fatal}, New.front());
+            crash(k, {Fatal}, New.front());
             exchangeUpdates();
         }
         clock.advance(100ms);
@@ -235,30 +240,31 @@
     CHECK(trials == 1);
 }
 
-// Guards against memory and messages that grow with the requests that were in progress on a rack.
+// Guards against memory use and messages that grow with the number of requests in progress on a
+// lost rack.
 TEST_CASE("requestQuarantine_manySuspects_areBoundedAndTheWorstIsKept")
 {
     QuarantineFleetFixture fleet(2);
     for (int i = 0; i < 3; ++i) {
-        fleet.end(0, {Fatal});
+        fleet.crash(0, {Fatal});
         fleet.clock.advance(300ms);
     }
     for (int i = 0; i < 20'000; ++i)
-        fleet.end(0, {fmt::format("suspect-{:016}", i)});
+        fleet.crash(0, {fmt::format("suspect-{:016}", i)});
     CHECK(fleet.routers[0]->size() <= 4096);
     for (int i = 0; i < 100; ++i) {
         fleet.exchangeUpdates();
         fleet.clock.advance(400ms);
     }
-    CHECK(fleet.bytes < 8000); // 64 first ends, which go in several messages.
+    CHECK(fleet.bytes < 8000); // Up to 64 first incidents; FleetTask splits them into datagrams.
     CHECK(fleet.heldBy(Fatal) == 2);
 }
 
-/// A fleet in which each router reaches a part of the others at a time, with the pace of beats.
+/// A fleet in which each router sends to a part of the others at each heartbeat.
 struct LargeFleetFixture : QuarantineFleetFixture
 {
     static constexpr std::size_t Routers = 890;
-    static constexpr std::size_t Fanout = 26; ///< Of a beat.
+    static constexpr std::size_t Fanout = 26; ///< Receivers of a heartbeat.
     static constexpr std::size_t UrgentFanout = 78;
     static constexpr std::size_t Holders = 8;
 
@@ -294,29 +300,32 @@
         clock.advance(400ms);
     }
 
-    std::vector<std::size_t> next; ///< Target of each router's next message.
-    std::size_t messages = 0; ///< That carried something.
+    std::vector<std::size_t> next; ///< Receiver of each router's next message.
+    std::size_t messages = 0; ///< Number of messages with updates.
 };
 
-// Guards against routers of a large fleet that have not heard of it when the request comes again.
+// Guards against routers of a large fleet that have not received the evidence when the request is
+// sent again.
 TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_largeFleet_allHoldItBackWithinThreeSeconds")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i * 300, {Fatal});
+        crash(i * 300, {Fatal});
         announceFrom(i * 300, UrgentFanout);
         heartbeat();
     }
-    for (int i = 0; i < 6; ++i) // With the beat before, 2.8 s since the third end.
+    for (int i = 0; i < 6; ++i) // With the heartbeat above, 2.8 s after the third crash.
         heartbeat();
     CHECK(heldBy(Fatal) == Routers);
 }
 
-// Guards against a flood of messages where a failure domain is lost with all that ran there.
-TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_failureDomainLost_onlyKeepersAreTold")
+// Guards against a flood of messages when a failure domain is lost with all requests in progress
+// there.
+TEST_CASE_FIXTURE(LargeFleetFixture,
+                  "requestQuarantine_failureDomainLost_onlyHoldersReceiveUpdates")
 {
     constexpr std::size_t Suspects = 9'000;
     for (std::size_t i = 0; i < Suspects; ++i)
-        end(i % Routers, {fmt::format("suspect-{:016}", i)});
+        crash(i % Routers, {fmt::format("suspect-{:016}", i)});
     for (int i = 0; i < 10; ++i)
         heartbeat();
     CHECK(messages <= 2 * Holders * Suspects);
