--- a/src/Net/CrashWatch.h
+++ b/src/Net/CrashWatch.h
@@ -22,7 +22,7 @@
 {
 public:
     /// \brief An attempt of a request whose connection broke.
-    struct BrokenRun
+    struct BrokenAttempt
     {
         std::string requestId = {};
         std::string fingerprint = {}; ///< \sa requestFingerprint()
@@ -33,9 +33,9 @@
     };
 
     /// \brief What a replica has to do to count as alive.
-    enum class Patience : std::uint8_t {
-        Short, ///< Accept a connection; a proxy in front of a crashed replica does so too.
-        Long, ///< Accept a connection and not close it within the time that a proxy needs.
+    enum class AliveCriterion : std::uint8_t {
+        Accepts, ///< Accept a connection; a proxy in front of a crashed replica does so too.
+        StaysOpen, ///< Accept a connection and not close it within the time that a proxy needs.
     };
 
     struct Options
@@ -44,8 +44,8 @@
         Metrics &metrics;
         /// Called for each attempt that broke because its replica crashed, with the time of the
         /// crash.
-        std::function<void(const BrokenRun &, TimePoint endedAt)> runEnded = [](const BrokenRun &,
-                                                                                TimePoint) {};
+        std::function<void(const BrokenAttempt &, TimePoint crashedAt)> attemptCrashed =
+                [](const BrokenAttempt &, TimePoint) {};
         /// Called once for each replica that crashed.
         std::function<void(const std::string &replica)> replicaCrashed = [](const std::string &) {};
     };
@@ -55,11 +55,12 @@
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
-    /// \brief Checks whether the replica of \a run has crashed.
+    /// \brief Checks whether the replica of \a attempt has crashed.
     /// \param decided is called once, after this function has returned: with true if the replica
-    /// certainly crashed. A crash behind a proxy may be detected only after that; Options::runEnded
-    /// is called in this case too.
-    void runBroke(BrokenRun run, Patience patience, std::function<void(bool ended)> decided);
+    /// certainly crashed. A crash behind a proxy may be detected only after that;
+    /// Options::attemptCrashed is called in this case too.
+    void checkReplica(BrokenAttempt attempt, AliveCriterion criterion,
+                      std::function<void(bool crashed)> decided);
 
 private:
     struct Private;
--- a/src/Net/EntryCall.h
+++ b/src/Net/EntryCall.h
@@ -40,13 +40,13 @@
     CrashWatch &crashes;
     RandomSource random;
     std::function<int()> sharingRouters; ///< Routers that share the retry budget.
-    std::function<bool()> refusesNew; ///< Whether new requests are refused.
+    std::function<bool()> isShuttingDown; ///< Whether new requests are refused.
     /// Called for each prompt that is sent to a replica, which caches it from then on.
     std::function<void(const std::string &replica, std::span<const PromptPart>)> promptSent = {};
     /// Called with the incarnation of a replica whose answer states that it is leaving.
-    std::function<void(const std::string &replica)> replicaLeaves = [](const std::string &) {};
+    std::function<void(const std::string &replica)> replicaLeaving = [](const std::string &) {};
     /// Called when a process other than replica \a id answers at \a address that it is leaving.
-    std::function<void(const std::string &address, const std::string &id)> othersLeave =
+    std::function<void(const std::string &address, const std::string &id)> replicaLeavingAt =
             [](const std::string &, const std::string &) {};
     /// Announces the ejection to the other routers at once.
     std::function<void()> replicaEjected = {};
@@ -81,8 +81,8 @@
     void send(const ReplicaPool::Choice &choice);
     void reportSent(const ReplicaPool::Choice &choice) const;
     HttpCall composeCall(const std::string &copyFrom) const;
-    Duration stallLimit() const;
-    Duration readingTime() const; ///< Time that a healthy engine may take to process the prompt.
+    Duration stallTimeout() const;
+    Duration prefillTimeout() const; ///< Time that a healthy engine may take to process the prompt.
     HttpCallEvents attemptEvents();
     void noteFirstEvent();
 
@@ -96,19 +96,19 @@
     void endRelay();
 
     void noteReplicaState();
-    Duration comeBackAfter() const; ///< Time until a caller may retry if no replica was available.
+    Duration retryDelay() const; ///< Time until a caller may retry if no replica was available.
     void noteLoad();
-    void noteForgottenConnection(const Error &error);
-    void takeAnswer();
+    void noteStaleConnection(const Error &error);
+    void handleAnswer();
     void deliver();
     void attemptFailed(const Error &error);
     ReplicaPool::Choice chooseReplica();
     const std::string &fingerprint();
     std::optional<Error> quarantineError();
-    bool mayHaveEndedReplica(const Error &error) const;
+    bool mayHaveCrashedReplica(const Error &error) const;
     int suspicion(); ///< \sa RequestQuarantine::suspicion
-    void checkReplicaEnd(const Error &error);
-    void replicaEndChecked(const Error &error, bool ended);
+    void checkForCrash(const Error &error);
+    void crashChecked(const Error &error, bool crashed);
     /// \param verdict of the attempt that failed.
     bool mayRetry(Verdict verdict);
     /// \param ignoredForHealth \sa AttemptReport::ignoredForHealth
@@ -140,16 +140,16 @@
     bool m_attempting = false;
     ReplicaRecord m_replica;
     std::string m_incarnation; ///< Incarnation of m_replica.
-    TimePoint m_attemptBegan;
+    TimePoint m_attemptStartedAt;
     /// When the last byte of the answer arrived, else when the attempt started.
-    TimePoint m_heardAt;
+    TimePoint m_lastReceivedAt;
     std::optional<Duration> m_firstByte; ///< Time from the start of this attempt to its first byte.
     /// Time without data after which the stream counts as stalled.
-    Duration m_stallLimit = Duration::zero();
-    bool m_heardEvent = false; ///< This attempt has received an event of the stream.
-    bool m_readsWholePrompt = false; ///< The replica is not known to cache any part of the prompt.
-    AttemptHistory m_sendings;
-    int m_endedReplicas = 0; ///< Replicas that crashed during attempts of this request.
+    Duration m_stallTimeout = Duration::zero();
+    bool m_receivedEvent = false; ///< This attempt has received an event of the stream.
+    bool m_isPromptUncached = false; ///< The replica is not known to cache any part of the prompt.
+    AttemptHistory m_history;
+    int m_crashedReplicas = 0; ///< Replicas that crashed during attempts of this request.
     std::string m_fingerprint; ///< Computed on first use.
     Verdict m_verdict = Verdict::NotRun; ///< Combined verdict of all finished attempts.
 
@@ -159,7 +159,7 @@
     SseReader m_reader;
     EventOrder m_order;
     bool m_relaying = false; ///< Events of this attempt are forwarded to the caller.
-    bool m_begun = false; ///< The head of the answer was sent to the caller.
+    bool m_headSent = false; ///< The head of the answer was sent to the caller.
     bool m_finished = false;
 };
 
--- a/src/Net/ForwardTask.h
+++ b/src/Net/ForwardTask.h
@@ -68,7 +68,7 @@
     const std::string &fingerprint();
     std::string software() const;
     std::optional<Error> quarantineError();
-    void checkUpstreamEnd(const Error &error);
+    void checkForCrash(const Error &error);
 
     // Completion.
     void attemptFailed(const Error &error);
@@ -104,7 +104,7 @@
     TimePoint m_started;
     TimePoint m_firstByte;
     std::string m_fingerprint; ///< Computed on first use.
-    int m_endedUpstreams = 0; ///< Upstreams that crashed during attempts of this request.
+    int m_crashedUpstreams = 0; ///< Upstreams that crashed during attempts of this request.
     bool m_freshConnection = false; ///< A pooled connection must not be used.
     bool m_direct = false; ///< The owner is draining: send to the engine directly.
     bool m_callerLeft = false;
--- a/src/Net/ConnectionHeaders.h
+++ b/src/Net/HopByHopHeaders.h
@@ -12,11 +12,11 @@
 
 /// \brief The hop-by-hop headers of a message, which are never forwarded: the well-known ones and
 /// those named by its Connection header.
-class ConnectionHeaders
+class HopByHopHeaders
 {
 public:
     /// \param headers must outlive this object.
-    explicit ConnectionHeaders(const HttpHeaders &headers);
+    explicit HopByHopHeaders(const HttpHeaders &headers);
 
     bool contains(std::string_view name) const;
 
--- a/src/Net/HttpClient.cpp
+++ b/src/Net/HttpClient.cpp
@@ -25,7 +25,7 @@
 /// A connection is reused only until the time in the Keep-Alive header divided by this number. A
 /// request that is sent while the upstream closes the connection cannot be retried unless it is
 /// idempotent.
-constexpr int KeepAlivePart = 2;
+constexpr int KeepAliveDivisor = 2;
 
 struct IdleConnection
 {
@@ -37,7 +37,7 @@
 struct TakenConnection
 {
     std::unique_ptr<HttpConnection> connection;
-    Duration rested = Duration::zero(); ///< Zero for a new connection.
+    Duration idleTime = Duration::zero(); ///< Zero for a new connection.
 };
 
 } // namespace
@@ -66,9 +66,9 @@
         return (call.secure ? "tls " : "") + call.address;
     }
 
-    static Duration longestIdle(const HttpCall &call, const IdleConnection &it)
+    static Duration maxIdleTime(const HttpCall &call, const IdleConnection &it)
     {
-        const Duration granted = it.connection->keepAlive() / KeepAlivePart;
+        const Duration granted = it.connection->keepAlive() / KeepAliveDivisor;
         return std::min({MaxIdleAge, call.maxIdleAge, granted});
     }
 
@@ -78,9 +78,9 @@
         while (!call.freshConnection && !list.empty()) {
             IdleConnection it = std::move(list.back());
             list.pop_back();
-            const Duration rested = loop.now() - it.since;
-            if (it.connection->isReusable() && rested < longestIdle(call, it))
-                return {std::move(it.connection), rested};
+            const Duration idleTime = loop.now() - it.since;
+            if (it.connection->isReusable() && idleTime < maxIdleTime(call, it))
+                return {std::move(it.connection), idleTime};
             retire(std::move(it.connection));
         }
         return {call.secure ? HttpConnection::openSecure(loop, call.address, tls)
@@ -118,10 +118,10 @@
 
     Call(EventLoop &loop, TakenConnection taken, HttpCall call, HttpCallEvents events,
          GiveBack giveBack)
-        : m_connection(std::move(taken.connection)), m_rested(taken.rested),
+        : m_connection(std::move(taken.connection)), m_idleTime(taken.idleTime),
           m_events(std::move(events)), m_giveBack(std::move(giveBack)),
           m_progressTimeout(call.progressTimeout),
-          m_silenceLimit(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
+          m_silenceTimeout(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
           m_deadline(loop, [this] { timedOut(); }), m_progress(loop, [this] { checkProgress(); }),
           m_connect(loop, [this] { checkConnected(); })
     {
@@ -130,7 +130,7 @@
             m_connect.start(call.connectTimeout);
         noteProgress();
         if (m_progressTimeout > Duration::zero())
-            m_progress.start(m_silenceLimit);
+            m_progress.start(m_silenceTimeout);
         m_connection->start(call,
                             {.onHead =
                                      [this](const HttpHead &head) {
@@ -151,12 +151,12 @@
     ~Call() override
     {
         if (m_connection) {
-            m_connection->mute();
+            m_connection->detach();
             m_giveBack(std::move(m_connection));
         }
     }
 
-    Duration rested() const override { return m_rested; }
+    Duration idleTime() const override { return m_idleTime; }
 
     void pause() override
     {
@@ -180,26 +180,26 @@
 
     void noteFirstByte()
     {
-        if (m_silenceLimit == m_progressTimeout)
+        if (m_silenceTimeout == m_progressTimeout)
             return;
-        m_silenceLimit = m_progressTimeout;
-        m_progress.start(m_silenceLimit);
+        m_silenceTimeout = m_progressTimeout;
+        m_progress.start(m_silenceTimeout);
     }
 
     void checkProgress()
     {
         const Duration silence = m_paused ? Duration::zero() : m_loop.now() - m_lastProgress;
-        if (silence >= m_silenceLimit)
+        if (silence >= m_silenceTimeout)
             timedOut();
         else
-            m_progress.start(m_silenceLimit - silence);
+            m_progress.start(m_silenceTimeout - silence);
     }
 
     void checkConnected()
     {
         if (m_connection->verdict() != Verdict::NotRun)
             return;
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamUnreachable,
                      .verdict = Verdict::NotRun,
                      .detail = "no connection within the connect timeout",
@@ -209,7 +209,7 @@
     void timedOut()
     {
         const Verdict verdict = m_connection->verdict();
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamTimeout,
                      .verdict = verdict,
                      .detail = "the answer timed out",
@@ -228,11 +228,11 @@
     }
 
     std::unique_ptr<HttpConnection> m_connection;
-    Duration m_rested;
+    Duration m_idleTime;
     HttpCallEvents m_events;
     GiveBack m_giveBack;
     Duration m_progressTimeout;
-    Duration m_silenceLimit; ///< Includes firstByteTimeout until the first byte of the body.
+    Duration m_silenceTimeout; ///< Includes firstByteTimeout until the first byte of the body.
     bool m_paused = false;
     TimePoint m_lastProgress;
     EventLoop &m_loop;
--- a/src/Net/HttpClient.h
+++ b/src/Net/HttpClient.h
@@ -33,7 +33,7 @@
     /// Keep-Alive header is a further limit.
     Duration maxIdleAge = std::chrono::seconds(20);
     /// Accepts an answer without a length that ends with its connection.
-    bool takesUnframed = false;
+    bool acceptsUnframed = false;
     bool secure = false; ///< Uses TLS; the certificate of the upstream must name its address.
 };
 
@@ -74,7 +74,7 @@
     virtual void resume() = 0;
 
     /// \returns how long the connection was idle before the call; zero for a new connection.
-    virtual Duration rested() const = 0;
+    virtual Duration idleTime() const = 0;
 };
 
 using HttpCallPtr = std::unique_ptr<HttpCallHandle>;
--- a/src/Net/HttpServer.h
+++ b/src/Net/HttpServer.h
@@ -24,7 +24,7 @@
         std::string address; ///< `ip:port`; port 0 is not allowed.
         ListenerLimits limits = {};
         /// Called for each connection that was closed because limits.maxConnections was reached.
-        std::function<void()> onTooMany = {};
+        std::function<void()> onTooManyConnections = {};
         const TlsContext *tls = nullptr; ///< If it has a certificate, callers must use TLS.
     };
 
--- a/src/Net/ServicePools.h
+++ b/src/Net/ServicePools.h
@@ -24,10 +24,10 @@
 struct ServicePool
 {
     ReplicaPool replicas;
-    FleetRetryBudget repeats;
-    ConnectionReusePolicy idle;
+    FleetRetryBudget retryBudget;
+    ConnectionReusePolicy connectionReuse;
     LoadShedder shedder;
-    PrefillTimeout pace = {};
+    PrefillTimeout prefillEstimate = {};
 };
 
 /// \brief Pools of all services. A pool is never removed, so that calls may hold a pointer to it.
@@ -60,19 +60,19 @@
 
     /// \brief Applies the retry budget and the limits of changed settings.
     void applySettings();
-    void applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &news,
-                           TimePoint heard);
+    void applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &update,
+                           TimePoint receivedAt);
 
     /// \brief Excludes \a replica for \a pause after it crashed.
     /// \sa ReplicaPool::noteUnreachable()
-    void noteEnded(const std::string &replica, Duration pause);
+    void noteCrashed(const std::string &replica, Duration pause);
 
     /// \brief Records that another router sent \a parts of a prompt to \a replica.
     void notePrompts(const std::string &replica, std::span<const std::uint64_t> parts);
 
-    /// \returns the prompt parts that are estimated to be cached by replicas, at most \a most for
+    /// \returns the prompt parts that are estimated to be cached by replicas, at most \a limit for
     /// each service.
-    PromptsByReplica prompts(std::size_t most) const;
+    PromptsByReplica prompts(std::size_t limit) const;
 
     /// \returns the replicas that cache prompts and are not evacuated.
     std::vector<ReplicaRecord> engines() const;
@@ -83,7 +83,7 @@
     ReplicaStatusUpdate ownStatusUpdate() const;
 
 private:
-    double coldLimitOf(const std::string &service) const;
+    double coldRateLimitOf(const std::string &service) const;
 
     const Clock &m_clock;
     RandomSource m_random;
--- a/src/Net/WireCodec.h
+++ b/src/Net/WireCodec.h
@@ -26,7 +26,7 @@
 };
 
 /// \brief One attempt of a request.
-struct Dispatch
+struct OutgoingRequest
 {
     const EntryRequest &request;
     const ReplicaRecord &replica;
@@ -40,7 +40,7 @@
 struct WireCodec
 {
     std::function<CallFacts(const HttpHeaders &)> decodeRequest;
-    std::function<HttpHeaders(const Dispatch &)> encodeRequest;
+    std::function<HttpHeaders(const OutgoingRequest &)> encodeRequest;
     std::function<AnswerFacts(const HttpHead &)> decodeAnswer;
     /// Headers that the caller receives.
     std::function<HttpHeaders(const HttpHead &)> passedAnswerHeaders;
--- a/src/Net/internal/ConnectionCensus.h
+++ b/src/Net/internal/ConnectionLimiter.h
@@ -11,13 +11,13 @@
 ///
 /// evhttp 2.1 reports when it accepts a connection but not when it closes one. Each socket is
 /// therefore stored with its descriptor and the kernel's cookie for it. Closed ones are searched
-/// for only when the limit is reached and at most once per LookInterval: a connection costs two
+/// for only when the limit is reached and at most once per ScanInterval: a connection costs two
 /// system calls, and a flood of connections does not cause a scan of all sockets for each of them.
-class ConnectionCensus
+class ConnectionLimiter
 {
 public:
     /// \param limit number of connections that may be open at a time.
-    ConnectionCensus(const Clock &clock, int limit);
+    ConnectionLimiter(const Clock &clock, int limit);
 
     /// \brief Counts the newly accepted connection \a fd.
     /// \returns false if it exceeds the limit; it is not counted then.
@@ -27,12 +27,12 @@
     std::size_t size() const { return m_cookies.size(); }
 
 private:
-    void forgetClosed();
+    void removeClosed();
 
     const Clock &m_clock;
     std::size_t m_limit;
     std::unordered_map<int, std::uint64_t> m_cookies; ///< Kernel cookies by descriptor.
-    TimePoint m_lastLook;
+    TimePoint m_lastScan;
 };
 
 } // namespace catkinloft::internal
--- a/src/Net/internal/HttpConnection.h
+++ b/src/Net/internal/HttpConnection.h
@@ -32,12 +32,12 @@
     HttpConnection(const HttpConnection &) = delete;
     HttpConnection &operator=(const HttpConnection &) = delete;
 
-    /// \brief Sends \a call. onEnd is called once, unless mute() is called before.
+    /// \brief Sends \a call. onEnd is called once, unless detach() is called before.
     void start(const HttpCall &call, HttpCallEvents events);
 
     /// \brief Calls no more callbacks of the request in progress. After that the connection may be
     /// destroyed, but not from within one of its own callbacks.
-    void mute();
+    void detach();
 
     void setReading(bool enabled);
 
@@ -70,14 +70,14 @@
     std::size_t m_bytesReceived = 0;
     bool m_delimited = false; ///< The answer ends before its connection does.
     bool m_headOnly = false;
-    bool m_takesUnframed = false;
+    bool m_acceptsUnframed = false;
     Duration m_keepAlive = std::chrono::hours(1);
     std::optional<std::size_t> m_length; ///< Content-Length of the answer, if it has one.
     int m_errorCode = -1;
     bool m_reusable = true;
     bool m_noSession = false; ///< TLS was requested, but no session could be created.
     /// Reset when the posted call of onEnd must not happen any more.
-    std::shared_ptr<bool> m_listening;
+    std::shared_ptr<bool> m_endGuard;
 };
 
 } // namespace catkinloft::internal
--- a/test/ScriptedReplica.h
+++ b/test/ScriptedReplica.h
@@ -50,7 +50,7 @@
     std::size_t openConnections() const { return m_open.size(); }
 
     /// \brief Sends \a bytes on every open connection, whether or not a request is pending.
-    void sendUnasked(const std::string &bytes);
+    void sendUnsolicited(const std::string &bytes);
 
     /// \returns the value of the request header \a name, empty if it is missing.
     static std::string headerOf(const std::string &request, const std::string &name);
