--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -250,16 +250,16 @@
 void EntryCall::checkForCrash(const Error &error)
 {
     m_call.reset();
-    const CrashWatch::BrokenAttempt run{.requestId = id(),
-                                        .fingerprint = fingerprint(),
-                                        .replica = m_incarnation,
-                                        .software = m_replica.software(),
-                                        .address = m_replica.address,
-                                        .sentAt = m_attemptStartedAt};
+    const CrashWatch::BrokenAttempt broken{.requestId = id(),
+                                           .fingerprint = fingerprint(),
+                                           .replica = m_incarnation,
+                                           .software = m_replica.software(),
+                                           .address = m_replica.address,
+                                           .sentAt = m_attemptStartedAt};
     const auto criterion = suspicion() > 0 ? CrashWatch::AliveCriterion::StaysOpen
                                            : CrashWatch::AliveCriterion::Accepts;
     m_context.crashes.checkReplica(
-            run, criterion, [weak = weak_from_this(), number = m_attempt, error](bool crashed) {
+            broken, criterion, [weak = weak_from_this(), number = m_attempt, error](bool crashed) {
                 const auto self = weak.lock();
                 if (self && self->m_attempting && self->m_attempt == number)
                     self->crashChecked(error, crashed);
