--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -29,50 +29,55 @@
 
 using namespace std::chrono_literals;
 
-/// How often it is looked whether to try to register, and the least time between readings of who
-/// else is registered. The list only finds routers that nobody has heard, so it is read seldom: a
-/// call costs as much as a small request.
+/// Interval of checks whether to try to register, until registration is complete.
 constexpr Duration RegistrationPoll = 200ms;
+
+/// Shortest interval between reads of the registered routers. The list only finds routers from which
+/// no heartbeat was received, so it is read rarely: a call costs as much as a small request.
 constexpr Duration RegistrationInterval = 10s;
-constexpr Duration RegistrationPause = 500ms; ///< Least time between readings of the whole fleet.
 
-/// New work is still taken for this part of the time until the kill, from callers that keep an
-/// older address; long streams need the rest to end.
+/// Shortest interval between reads of the whole fleet; the interval of one router is this times the
+/// number of routers.
+constexpr Duration RegistrationPause = 500ms;
+
+/// Fraction of the stop limit in which a draining process still accepts requests, from callers that
+/// use an outdated address. Long streams need the rest of the time to finish.
 constexpr double AcceptPart = 0.35;
 
-/// Kept of the time until the kill for the end of the process itself.
+/// Part of the stop limit that is reserved for the shutdown of the process itself.
 constexpr Duration StopMargin = 300ms;
 
 constexpr Duration DrainPoll = 50ms;
 
-/// How often it is looked which engines are to be asked for the prompts that they keep, while the
-/// survey after a start lasts.
+/// Interval of checks which engines are due for prompt discovery, until the discovery is finished.
 constexpr Duration SurveyPoll = 50ms;
 
-/// A router that has run for so much longer than this one was not restarted with it.
+/// A router that started this much earlier than this one was not restarted together with it.
 constexpr Duration OlderPeer = 5s;
 
-/// Parts of prompts of one service that are told to a router that has started: some 240 KB, a fifth
-/// of a second of a link of 10 Mbit/s. Nine replicas have fewer; with 140, 85 of each are told.
+/// Prompt parts of one service that are sent to a router that has just started: about 240 KB, which
+/// takes 0.2 seconds on a link of 10 Mbit/s. With many replicas the limit is shared among them: with
+/// 140, each gets 85 parts.
 constexpr std::size_t MaxToldPrompts = 12'000;
 
-/// How long beats tell of a replica that has said that it leaves: a few rounds of a large fleet, or
-/// until the store has its entry.
+/// How long heartbeats announce a replica that has said that it is leaving: a few rounds of a large
+/// fleet, by when the store has its entry.
 constexpr Duration LeavingTold = 10s;
 constexpr std::size_t MaxToldLeaving = 8;
 
-/// How long a replica is left out that has ended, unless its entry goes before. What listens at its
-/// address may be a proxy.
+/// How long a crashed replica is excluded, unless its entry is removed earlier. A successful
+/// connection doesn't shorten this, because a proxy may be listening at its address.
 constexpr Duration EndedPause = 3s;
 
-/// At the metrics address.
+/// Path of the quarantine page at the metrics address.
 constexpr std::string_view QuarantinePath = "/quarantine";
 
-/// Routers that are counted while none can be verified, which bounds what a stranger can feign.
+/// Most routers that are counted while heartbeats can't be verified. Limits the effect of forged
+/// heartbeats.
 constexpr std::size_t MaxUnverified = 1000;
 
-/// A caller's connection is kept for longer than the configuration allows it to be idle, so that a
-/// request never crosses its close.
+/// Shortest idle timeout of caller connections. They are kept open for longer than the configured
+/// idle timeout, so that the router doesn't close one while a request is on its way.
 constexpr Duration MinIdleTimeout = 120s;
 
 } // namespace
@@ -123,7 +128,7 @@
     StoreWatch watch;
     FleetRegistration registration;
     StoreReadPlan registrationPlan;
-    std::set<std::string> unverified; ///< Names of routers that were heard before the key was had.
+    std::set<std::string> unverified; ///< Senders of heartbeats that couldn't be verified.
     EntryDirectory directory;
     EntryGateway gateway;
     SettingsWatch settingsWatch;
@@ -295,7 +300,7 @@
 
 void EntryProcess::Private::tellNews()
 {
-    // Those that heard it from a reader need not repeat it.
+    // Routers that received the change from a reader need not announce it again.
     if (fleet.isReader())
         fleet.tellAll();
 }
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -28,54 +28,57 @@
 
 using namespace std::chrono_literals;
 
-/// How often a router that does not read the store asks one that does, as a part of the time in
-/// which changes have to be in force. Its proof is then at most three such parts old, with the two
-/// of the reader, and the reader's beat at each change comes sooner. An ask costs two datagrams.
+/// Interval at which a router that doesn't read the store asks one that does, as a fraction of the
+/// time in which changes have to be active. Its freshness proof is then at most three such intervals
+/// old, two of which are the reader's; the reader's heartbeat after a change arrives sooner. One ask
+/// costs two datagrams.
 constexpr double AskPart = 0.2;
 
-/// Routers that are told at once of an ejected replica, or of requests that end replicas. In a
-/// large fleet many routers eject a replica that fails, and a few of them tell each of the others;
-/// news of such requests is passed on by those that hear it.
+/// Number of routers to which an ejection, or a request that crashes replicas, is announced
+/// immediately. In a large fleet many routers eject a failing replica, so that each of the others
+/// receives an update from a few of them. Updates about requests are forwarded by their receivers.
 constexpr std::size_t UrgentFanout = 78;
 
-/// All that ran on a replica breaks at the same moment; one datagram tells of it.
+/// All requests on a replica break at the same time; the delay collects them in one datagram.
 constexpr Duration CrashTellDelay = 20ms;
 
-/// Routers that keep the evidence against one request: enough that one of them is there and hears
-/// all of it while others start or are cut off. In a small fleet all do.
+/// Routers that hold the evidence against one request: enough that one of them is running and
+/// receives all of it while others start or are disconnected. In a small fleet all routers hold it.
 constexpr std::size_t EvidenceKeepers = 8;
 
-/// First ends in one datagram, some 90 bytes each.
+/// First crashes in one datagram, at about 90 bytes each.
 constexpr std::size_t MaxFirstEnds = 7;
 
-/// Parts of prompts that one beat tells of: it has to fit one datagram of 1,200 bytes with the
-/// counts. More are only told at over 100 prompts a second and router, and are hints.
+/// Prompt parts in one heartbeat, which has to fit one datagram of 1,200 bytes together with the
+/// counts. The limit is reached only above 100 prompts per second and router; parts that don't fit
+/// are lost, which is acceptable because they are hints.
 constexpr std::size_t MaxPromptParts = 40;
 
-/// The same where it also tells of crashes, which take up to 550 bytes.
+/// Prompt parts in a heartbeat that also carries crashes, which take up to 550 bytes.
 constexpr std::size_t MaxPromptPartsBesideCrashes = 10;
 
 constexpr const char *StatePath = "/v1/state";
 constexpr const char *SignatureHeader = "X-Catkinloft-Signature";
 
-/// A peer on the same platform answers in milliseconds; another one is asked after this silence. A
-/// transfer that goes on is not given up for being long: over a link of 10 Mbit/s that also carries
-/// streams a large configuration takes a second, and what was sent of it would be lost.
+/// Time without progress after which a peer counts as unresponsive; peers on the same platform
+/// answer in milliseconds. A transfer that makes progress continues: a large configuration takes a
+/// second over a link of 10 Mbit/s that also carries streams, and aborting it would waste the part
+/// that was sent.
 constexpr Duration PeerSilence = 600ms;
 
-/// Longest transfer, as a multiple of the time in which changes have to be in force. By then the
-/// store has been asked.
+/// Timeout of a whole transfer, as a multiple of the time in which changes have to be active. By
+/// then the store has been read directly.
 constexpr int StateTimeoutFactor = 2;
 
 constexpr std::size_t MaxStateBody = 32 * 1024 * 1024;
 
-/// A question to a router that reads the store, which has not been answered yet.
+/// An unanswered ask to a router that reads the store.
 struct Ask
 {
     TimePoint at;
     std::string reader;
 
-    /// \returns what the answer has to repeat.
+    /// \returns the number that the answer has to echo.
     std::uint64_t number() const
     {
         return static_cast<std::uint64_t>(at.time_since_epoch().count());
@@ -125,8 +128,9 @@
     Timer crashTimer;
     PeerCatchUp catchUp;
     ConfigTextCache configTexts;
-    std::map<std::uint64_t, PeerState::Packed> packedReplicas; ///< By the hash that the asker has.
-    std::uint64_t packedHash = 0; ///< Of the list that they lead to.
+    /// Packed updates to the list with \a packedHash, by the hash of the list that they start from.
+    std::map<std::uint64_t, PeerState::Packed> packedReplicas;
+    std::uint64_t packedHash = 0; ///< Hash of the newest packed replica list.
     std::vector<Ask> asks;
     std::size_t nextReader = 0;
     std::uint64_t incarnation;
@@ -310,7 +314,7 @@
         answer.echo = heartbeat.ask;
         send(heartbeat.peerAddress, answer);
     }
-    // Before the proof that stands for them too.
+    // Before the freshness proof is applied, because the proof covers the evacuations too.
     options.evacuated.accept(heartbeat.evacuated);
     if (heartbeat.echo != 0)
         takeEcho(heartbeat);
@@ -326,8 +330,8 @@
 
 void FleetTask::Private::takeEcho(const RouterHeartbeat &heartbeat)
 {
-    // Only an answer proves anything: a datagram may have waited here for as long as this VM was
-    // suspended, but an answer was sent after its ask.
+    // Only an answer proves freshness, because it was sent after its ask. Any other datagram may
+    // have been queued on this VM for as long as the VM was suspended.
     const auto found = std::find_if(asks.begin(), asks.end(),
                                     [&](const Ask &it) { return it.number() == heartbeat.echo; });
     if (found == asks.end())
@@ -405,7 +409,8 @@
 void FleetTask::Private::takeConfig(const PeerState &state, TimePoint asked)
 {
     const RouteConfigPtr &own = options.config.config();
-    // The answer may be to an older question: a change of what was in force then is of no use now.
+    // The answer may belong to an older ask: a delta to another base than the active configuration
+    // can't be applied.
     if (state.configBase != 0 && state.configBase != options.config.revision())
         return;
     const Result<std::string> text =
@@ -430,7 +435,7 @@
 void FleetTask::Private::takeState(const PeerState &state, TimePoint asked)
 {
     options.evacuated.accept(state.evacuated);
-    // An age of Duration::max() comes with nothing that it would date.
+    // With an age of Duration::max() the peer has no data that the age would apply to.
     if (state.config)
         takeConfig(state, asked);
     else if (state.revision != 0)
@@ -528,7 +533,7 @@
 
 bool FleetTask::isReader() const
 {
-    // One that does not know the others yet would take itself for the only one.
+    // Before the list of registered routers is known, this router would consider itself the only one.
     return m_d->view.knowsRegistered() && m_d->isReader(m_d->readers());
 }
 
--- a/src/Net/FleetTask.h
+++ b/src/Net/FleetTask.h
@@ -19,8 +19,10 @@
 class HttpClient;
 class ReplicaRegistry;
 
-/// \brief The task that talks with the other routers: beats over signed datagrams, and what was
-/// read from the store over TCP at the same address, for routers that can't reach the store.
+/// \brief Exchanges state with the other routers.
+///
+/// Heartbeats are signed UDP datagrams. Over TCP at the same address it serves what was read from
+/// the store, so that a router that can't reach the store stays up to date.
 class FleetTask
 {
 public:
@@ -42,13 +44,15 @@
         /// \sa RequestQuarantine::takeFirstCrashes
         std::function<std::vector<CrashUpdate>()> takeFirstCrashes;
         std::function<void(const RouterHeartbeat &)> onBeat;
-        /// Told of each beat that can't be verified yet, for want of the key: a hint at most.
+        /// Called for each heartbeat that is received before the key is known. It can't be verified,
+        /// so it is only a hint.
         std::function<void(const RouterHeartbeat &)> onUnverifiedBeat =
                 [](const RouterHeartbeat &) {};
-        /// Takes the configuration that a peer read, with the moment at which the read began.
+        /// Called with a configuration that a peer read from the store, and the time at which that
+        /// read started.
         std::function<void(const std::string &text, TimePoint readStartedAt)> onConfigText;
-        std::function<PromptsByReplica()> prompts; ///< That replicas are believed to keep.
-        std::function<void(const PromptsByReplica &)> onPrompts; ///< What a peer believes.
+        std::function<PromptsByReplica()> prompts; ///< Prompts that replicas are estimated to cache.
+        std::function<void(const PromptsByReplica &)> onPrompts; ///< Called with a peer's estimate.
     };
 
     explicit FleetTask(Options options);
@@ -56,42 +60,43 @@
     FleetTask(const FleetTask &) = delete;
     FleetTask &operator=(const FleetTask &) = delete;
 
-    /// \returns an error where the peer address can not be bound.
+    /// \returns an error if the peer address can't be bound.
     Result<void> start();
 
-    /// \brief Sets the key that beats are signed with; none are sent before.
+    /// \brief Sets the key that signs heartbeats. No heartbeat is sent before this call.
     void setKey(const SharedKey &key);
 
-    /// \brief Takes over the limits of settings that have changed.
+    /// \brief Applies limits that changed in the settings.
     void applySettings();
 
-    /// \brief Tells the others with the next beat that \a replica keeps \a prompt.
+    /// \brief Announces with the next heartbeat that \a replica caches \a prompt.
     void notePrompt(const std::string &replica, std::span<const PromptPart> prompt);
 
-    /// \brief Tells the routers at \a addresses at once that \a replica was asked what it keeps,
-    /// and that it keeps \a parts.
+    /// \brief Announces immediately to the routers at \a addresses that prompt discovery of
+    /// \a replica is done and that it caches \a parts.
     void tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
                     std::span<const std::string> addresses);
 
-    /// \returns when this process started, as its beats tell it.
+    /// \returns the start time of this process, as its heartbeats carry it.
     std::uint64_t incarnation() const;
 
-    /// \brief Tells the others that this router leaves.
+    /// \brief Announces to all routers that this router is leaving.
     void leave();
 
-    /// \brief Asks a peer that has read the store for what it read, if that is newer.
+    /// \brief Fetches the state of the peer with the freshest read of the store.
     void fetchFromPeer();
 
-    /// \brief Tells all routers at once, because something has changed here.
+    /// \brief Sends a heartbeat to all routers immediately, after a change of local state.
     void tellAll();
 
-    /// \brief Tells several routers at once that this one has ejected a replica.
+    /// \brief Announces immediately to several routers that this router has ejected a replica.
     void tellEjected();
 
-    /// \brief Tells several routers, within milliseconds, under which requests replicas ended.
+    /// \brief Announces to several routers, within milliseconds, which requests were in progress on
+    /// crashed replicas.
     void tellCrashes();
 
-    /// \returns whether this router reads the store for the others.
+    /// \returns whether this router is one of those that read the store on behalf of the fleet.
     bool isReader() const;
 
     FleetView &view();
