--- a/src/Net/EngineHttp.cpp
+++ b/src/Net/EngineHttp.cpp
@@ -17,20 +17,20 @@
 
 constexpr Duration ReadTimeout = 2s;
 
-/// An order to load weights is answered when they are there.
+/// An order to load weights is answered only after they are loaded.
 constexpr Duration OrderTimeout = 120s;
 constexpr Duration KvTimeout = 30s;
 constexpr std::size_t MaxKvBytes = 64 * 1024 * 1024;
 
-/// More than the engine's stand-in or any batch would hold; longer feeds come in parts.
+/// Larger than any batch of an engine or its stand-in; longer feeds are read in several calls.
 constexpr std::size_t MaxReadBytes = 256 * 1024;
 
-/// What one call sends around its target and body: its line and Host header, and the TCP and IP
-/// headers of the call and of the acknowledgement of its answer.
+/// Bytes that one call sends in addition to its target and body: the request line with the Host
+/// header, and the TCP and IP headers of the call and of the acknowledgement of its answer.
 constexpr std::size_t RequestLine = 42;
 constexpr std::size_t PacketHeaders = 2 * 52;
 
-/// Where the weight store refuses without saying for how long.
+/// Used when the weight store refuses without a valid Retry-After header.
 constexpr Duration DefaultRetryAfter = 5s;
 
 HttpCall makeCall(std::string address, std::string target, Duration timeout)
@@ -58,7 +58,8 @@
             .detail = fmt::format("the engine answered {}", status)};
 }
 
-/// The object of a 200 answer, as \a convert reads it.
+/// \returns a receiver that passes the JSON object of a 200 answer, converted by \a convert, to
+/// \a done, or an error.
 template<typename T, typename Convert>
 std::function<void(Result<HttpAnswer>)> objectReceiver(EngineClient::Callback<T> done,
                                                        Convert convert)
@@ -82,7 +83,7 @@
         } catch (const Json::Exception &) {
             done(Error{.reason = Reason::UpstreamBroken,
                        .verdict = Verdict::MayHaveRun,
-                       .detail = "the engine's answer has another form"});
+                       .detail = "the engine's answer has an unexpected JSON structure"});
         }
     };
 }
@@ -192,7 +193,7 @@
 void EngineHttp::sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done)
 {
     HttpCall call = makePost(std::move(address), "/v1/orders", OrderTimeout, toJson(order));
-    // A connection that has gone silent would leave the order in doubt for the whole timeout.
+    // On a dead connection the outcome of the order would be unknown for the whole timeout.
     call.freshConnection = true;
     fetch(std::move(call), [done = std::move(done)](const Result<HttpAnswer> &answer) {
         if (!answer) {
@@ -255,8 +256,8 @@
     };
     auto state = std::make_shared<Asking>();
     state->done = std::move(done);
-    // Only whether the store would give them is asked; the call is dropped before the weights come,
-    // outside of its own hooks.
+    // Only the store's willingness to send the weights matters: the call is dropped after the head
+    // of the answer. It is destroyed outside of its own callbacks.
     const auto finish = [&loop = m_options.loop, state](const Result<void> &result) {
         loop.post([state, result] {
             state->call.reset();
--- a/src/Net/EngineHttp.h
+++ b/src/Net/EngineHttp.h
@@ -13,8 +13,9 @@
 struct HttpAnswer;
 struct HttpCall;
 
-/// \brief The engines' control interface and the weight store over HTTP; docs/INTERFACES.md has
-/// their format.
+/// \brief Calls the engines' control interface and the weight store over HTTP.
+///
+/// docs/INTERFACES.md describes their format.
 class EngineHttp final : public EngineClient
 {
 public:
@@ -22,9 +23,9 @@
     {
         EventLoop &loop;
         HttpClient &client;
-        std::string weightStore; ///< `ip:port`; empty: there is none, and nothing to ask.
-        bool secure = false; ///< Whether engines are spoken to over TLS.
-        /// Told how many bytes each call of control sends, headers included.
+        std::string weightStore; ///< `ip:port`; empty: none, every request for weights succeeds.
+        bool secure = false; ///< Whether engines are called over TLS.
+        /// Called with the bytes that each control call sends, including headers.
         std::function<void(std::size_t)> sent = [](std::size_t) {};
     };
 
--- a/src/Net/EngineTask.cpp
+++ b/src/Net/EngineTask.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// How often the controllers look at their deadlines, the shortest of which is a second.
+/// Interval at which the controllers check their deadlines, the shortest of which is one second.
 constexpr Duration Tick = std::chrono::milliseconds(100);
 
 } // namespace
@@ -57,7 +57,7 @@
             names.push_back(it.name);
         owners.setEngines(names);
         takeOwned();
-        // What is known of an engine that leaves is needed before its owner may change.
+        // The migrator needs the state of a leaving engine before its owner may change.
         migrator.setInventory(inventory);
         orders.setInventory(inventory);
     }
--- a/src/Net/EngineTask.h
+++ b/src/Net/EngineTask.h
@@ -17,9 +17,10 @@
 class EventLoop;
 class HttpClient;
 
-/// \brief Everything that a router does about engines besides sending them requests: reads the
-/// engines that it owns, gives orders to the groups whose lease it holds, moves caches before a
-/// planned leave.
+/// \brief Controls engines; requests are sent to them elsewhere.
+///
+/// Reads the state of the engines that this router owns, sends orders to the groups whose lease it
+/// holds, and migrates caches before an engine leaves as planned.
 class EngineTask
 {
 public:
@@ -34,16 +35,16 @@
         TrafficGovernor &governor;
         RandomSource random;
         std::string weightStore; ///< `ip:port`; empty: none.
-        bool secure = false; ///< Whether engines are spoken to over TLS.
+        bool secure = false; ///< Whether engines are called over TLS.
     };
 
     explicit EngineTask(Options options);
     ~EngineTask();
 
-    /// \brief Starts to read and to order; until then nothing is sent.
+    /// \brief Starts to read engines and to send orders; nothing is sent before.
     void start();
 
-    /// \returns what is believed of the engines that this router owns.
+    /// \returns the estimated state of the engines that this router owns.
     EngineTracker &tracker();
 
 private:
--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -56,17 +56,17 @@
 constexpr Duration OlderPeer = 5s;
 
 /// Prompt parts of one service that are sent to a router that has just started: about 240 KB, which
-/// takes 0.2 seconds on a link of 10 Mbit/s. With many replicas the limit is shared among them: with
-/// 140, each gets 85 parts.
+/// takes 0.2 seconds on a link of 10 Mbit/s. Nine replicas stay below the limit; 140 replicas share
+/// it with 85 parts each.
 constexpr std::size_t MaxToldPrompts = 12'000;
 
-/// How long heartbeats announce a replica that has said that it is leaving: a few rounds of a large
-/// fleet, by when the store has its entry.
+/// How long heartbeats announce a replica that has reported that it is leaving: a few rounds of a
+/// large fleet. It ends earlier once the store has the entry of its successor.
 constexpr Duration LeavingTold = 10s;
 constexpr std::size_t MaxToldLeaving = 8;
 
-/// How long a crashed replica is excluded, unless its entry is removed earlier. A successful
-/// connection doesn't shorten this, because a proxy may be listening at its address.
+/// How long a crashed replica is excluded, unless its entry is removed earlier. An open connection
+/// doesn't prove that it runs again, because a proxy may be listening at its address.
 constexpr Duration EndedPause = 3s;
 
 /// Path of the quarantine page at the metrics address.
--- a/src/Net/EventLoop.cpp
+++ b/src/Net/EventLoop.cpp
@@ -21,7 +21,7 @@
     };
 
     event_base *base = event_base_new();
-    using ShotKey = std::pair<TimePoint, std::uint64_t>; ///< When it is due, and its number.
+    using ShotKey = std::pair<TimePoint, std::uint64_t>; ///< Due time and sequence number.
 
     struct OneShot
     {
@@ -36,7 +36,8 @@
     std::vector<Callback> posted;
     event *wake = nullptr;
 
-    /// Timers of libevent that are due within one tick of its clock fire in any order.
+    /// Runs all callbacks up to \a key in the order of their keys. Needed because libevent timers
+    /// that are due within one tick of its clock fire in any order.
     void runUpTo(const ShotKey &key)
     {
         std::vector<Callback> batch;
@@ -51,7 +52,7 @@
 
     void runPosted()
     {
-        // Callbacks may post more; those wait for the next turn so that sockets get theirs.
+        // Callbacks posted meanwhile run in the next iteration, so that sockets aren't starved.
         const std::vector<Callback> batch = std::exchange(posted, {});
         for (const Callback &it : batch)
             it();
@@ -68,7 +69,7 @@
 
 EventLoop::~EventLoop()
 {
-    // What waits may own connections, which have to go before the base does.
+    // Pending callbacks may own connections, which have to be freed before the event base.
     while (!m_d->posted.empty() || !m_d->shots.empty()) {
         const auto shots = std::exchange(m_d->shots, {});
         const auto posted = std::exchange(m_d->posted, {});
@@ -81,8 +82,8 @@
 
 TimePoint EventLoop::now() const
 {
-    // CLOCK_MONOTONIC stands still while a VM is suspended. Ages that protect something, as of the
-    // proof that a key still holds, have to count that time.
+    // CLOCK_MONOTONIC doesn't advance while a VM is suspended. Ages that protect something, such as
+    // that of the proof that a key is still valid, have to include that time.
     timespec ts{};
     clock_gettime(CLOCK_BOOTTIME, &ts);
     return TimePoint(std::chrono::seconds(ts.tv_sec) + Duration(ts.tv_nsec));
--- a/src/Net/EventLoop.h
+++ b/src/Net/EventLoop.h
@@ -11,8 +11,7 @@
 
 /// \brief The event loop of one thread; also its clock.
 ///
-/// Everything that a task owns is touched on this thread only. Other tasks hand it messages by
-/// post().
+/// The state of a task is accessed on this thread only. Other tasks pass it messages through post().
 class EventLoop final : public Clock
 {
 public:
@@ -30,15 +29,15 @@
     void run();
     void stop();
 
-    /// \brief Runs what is due and returns. For tests.
+    /// \brief Runs the callbacks that are due and returns. For tests.
     void runOnce();
 
-    /// \brief Queues \a callback behind the events at hand, so that it runs outside of the
-    /// caller's stack. Callbacks run in the order in which they were queued.
+    /// \brief Queues \a callback behind the events that are being processed, so that it runs outside
+    /// of the caller's stack. Callbacks run in the order in which they were queued.
     void post(Callback callback);
 
     /// \brief Calls \a callback once after \a delay. Callbacks run in the order in which they are
-    /// due; of those with the same delay, the one that was given first runs first.
+    /// due; callbacks with the same delay run in the order of the calls.
     void after(Duration delay, Callback callback);
 
     /// \brief Calls \a callback when the process receives signal \a number.
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -50,8 +50,8 @@
 constexpr std::size_t MaxFirstEnds = 7;
 
 /// Prompt parts in one heartbeat, which has to fit one datagram of 1,200 bytes together with the
-/// counts. The limit is reached only above 100 prompts per second and router; parts that don't fit
-/// are lost, which is acceptable because they are hints.
+/// counts. The limit is reached only above 100 prompts per second and router. Parts that don't fit
+/// wait for later heartbeats; dropping some is acceptable because they are hints.
 constexpr std::size_t MaxPromptParts = 40;
 
 /// Prompt parts in a heartbeat that also carries crashes, which take up to 550 bytes.
--- a/src/Net/Net.h
+++ b/src/Net/Net.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Module Net: event loop, HTTP both ways and the adapters to the platform.
+/// \brief Module Net: event loop, HTTP client and server, and the adapters to the platform.
 
 #include "Net/EventLoop.h" // IWYU pragma: export
 #include "Net/HttpClient.h" // IWYU pragma: export
--- a/src/Net/OperatorPages.cpp
+++ b/src/Net/OperatorPages.cpp
@@ -21,11 +21,12 @@
 
 const HttpHeaders JsonType = {{"Content-Type", "application/json"}};
 
-/// Other routers that hold a revision before it is called accepted: with the one that took the
-/// change, two VMs may fail at once during a store outage and it is still in force.
+/// Number of other routers that must hold a revision before it is reported as accepted. Together
+/// with the router that received the change, the revision then survives a failure of two VMs during
+/// an outage of the store.
 constexpr std::size_t SpreadWanted = 2;
 
-/// How long an answer waits for that. The change is committed; the answer then says so.
+/// How long the answer is delayed for that. Afterwards it reports the change as committed only.
 constexpr Duration SpreadWait = std::chrono::seconds(2);
 
 constexpr std::size_t HistoryPage = 100;
@@ -81,7 +82,7 @@
     const std::string chat = exchange->queryValue("chat");
     RouterDirectory::Query query{.model = exchange->queryValue("model"),
                                  .failureDomain = exchange->queryValue("failure_domain")};
-    // A fleet with one model need not be told which.
+    // The model may be omitted in a fleet with only one model.
     if (query.model.empty() && !inventory->engines.empty())
         query.model = inventory->engines.front().model;
     if (!chat.empty()) {
@@ -114,7 +115,7 @@
                           printStatusPage(report()));
         return;
     }
-    // A browser asks its user for the key: any name, the operator's key as the password.
+    // Makes a browser ask its user for a name, which is ignored, and the operator's key as password.
     exchange->respond(401,
                       {{"Content-Type", "text/plain"},
                        {"WWW-Authenticate", "Basic realm=\"catkinloft operators\""}},
@@ -144,7 +145,8 @@
         return std::nullopt;
     const std::string hash = sha256Hex(key);
     if (!inventory) {
-        // Without a configuration there are no operators; the settings name who sets the first.
+        // Without a configuration there are no operators; the bootstrap key of the settings
+        // authorizes the first change.
         const bool known = constantTimeEqual(hash, m_options.settings.bootstrapKeySha256);
         return known ? std::optional<std::string>("bootstrap") : std::nullopt;
     }
--- a/src/Net/OperatorPages.h
+++ b/src/Net/OperatorPages.h
@@ -18,7 +18,7 @@
 class Membership;
 class RouterDirectory;
 
-/// \brief The pages about the fleet itself: the address answer, the configuration and the status.
+/// \brief Serves the pages about the fleet: the address lookup, the configuration and the status.
 class OperatorPages
 {
 public:
@@ -31,18 +31,18 @@
         const Membership &membership;
         RouterDirectory &directory;
         RandomSource random;
-        std::function<void(StatusReport &)> describe; ///< Adds what requests are in progress.
-        std::function<void(const HttpExchangePtr &, const Error &)> fail; ///< Answers a refusal.
+        std::function<void(StatusReport &)> describe; ///< Adds the requests in progress.
+        std::function<void(const HttpExchangePtr &, const Error &)> fail; ///< Sends a refusal.
     };
 
     explicit OperatorPages(Options options);
 
-    void where(const HttpExchangePtr &exchange);
+    void where(const HttpExchangePtr &exchange); ///< The address of the router for a chat.
     void status(const HttpExchangePtr &exchange); ///< As JSON.
     void statusPage(const HttpExchangePtr &exchange); ///< For a browser.
     void readConfig(const HttpExchangePtr &exchange);
 
-    /// \brief Puts the body in force, or with `rollback=N` the text of revision N again.
+    /// \brief Proposes the body as the new configuration, or with `rollback=N` the text of revision N.
     void writeConfig(const HttpExchangePtr &exchange);
     void history(const HttpExchangePtr &exchange);
 
--- a/src/Net/PeerTask.cpp
+++ b/src/Net/PeerTask.cpp
@@ -16,19 +16,19 @@
 
 constexpr const char *PeerPath = "/v1/peer";
 
-/// A peer that does not answer in this time is asked again, or another one.
+/// Timeout of a peer's answer; afterwards this peer or another one is asked again.
 constexpr Duration BodyTimeout = std::chrono::seconds(5);
 
-/// Longest body: an inventory of 10,000 engines with its escapes, several times over.
+/// Largest accepted body: several times the size of an escaped inventory of 10,000 engines.
 constexpr std::size_t MaxBody = 32 * 1024 * 1024;
 
-/// Shortest sleep, so that a deadline in the past can't spin.
+/// Shortest timer delay, so that a deadline in the past doesn't cause a busy loop.
 constexpr Duration MinSleep = std::chrono::milliseconds(1);
 
 Member selfOf(const Settings &settings, const Clock &clock)
 {
-    // The start time as first incarnation: a router that comes back under its name overrides what
-    // is still believed about the one before.
+    // The start time is the first incarnation, so that a restarted router overrides what other
+    // routers still know about the previous process of that name.
     return {.name = settings.name,
             .callerAddress = settings.callerAddress,
             .peerAddress = settings.peerAddress,
@@ -89,7 +89,7 @@
 {
     for (const std::string &it : options.settings.seeds)
         membership.addSeed(it);
-    // Connected after the spread's own, which asks for a gossip to be repeated soon.
+    // Connected after the propagator's own slot, which moves the next gossip deadline forward.
     options.config.changed().connect([this](const InventoryPtr &) { schedule(); });
     options.metrics.addCollector([this](Metrics &metrics) {
         metrics.set("catkinloft_members", static_cast<double>(membership.liveCount() + 1));
@@ -124,7 +124,7 @@
         datagram = guard.seal(message);
     }
     if (datagram.size() > PeerCodec::MaxDatagram) {
-        // Only a delta full of characters that JSON escapes gets here.
+        // Only a delta with many characters that JSON escapes is still too large here.
         message.kind = PeerMessageKind::ConfigLarge;
         message.delta.clear();
         datagram = guard.seal(message);
@@ -168,7 +168,7 @@
         exchange->respond(403, {}, {});
         return;
     }
-    // A whole inventory costs minutes of the byte limit; another router may have room.
+    // A whole inventory uses up minutes of the byte limit; another router may have capacity left.
     if (!governor.allowsDeferrable()) {
         exchange->respond(503, {}, {});
         return;
--- a/src/Net/PeerTask.h
+++ b/src/Net/PeerTask.h
@@ -14,8 +14,10 @@
 class HttpClient;
 class TrafficGovernor;
 
-/// \brief The task that talks with the other routers: membership and the spread of configuration
-/// over authenticated datagrams, longer bodies over TCP at the same address.
+/// \brief Communicates with the other routers.
+///
+/// Maintains the membership and propagates the configuration over authenticated UDP datagrams.
+/// Bodies that don't fit a datagram are transferred over TCP at the same address.
 class PeerTask
 {
 public:
@@ -34,13 +36,13 @@
     PeerTask(const PeerTask &) = delete;
     PeerTask &operator=(const PeerTask &) = delete;
 
-    /// \returns an error where the peer address can not be bound.
+    /// \returns an error if the peer address can't be bound.
     Result<void> start();
 
-    /// \brief Tells the others that this router leaves.
+    /// \brief Announces that this router is leaving.
     void leave();
 
-    /// \brief Replaces the keys that datagrams are signed and checked with.
+    /// \brief Replaces the keys that sign and verify datagrams.
     void setKeys(std::vector<SharedKey> keys);
 
     Membership &membership();
--- a/src/Net/PeerTransport.cpp
+++ b/src/Net/PeerTransport.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// Datagrams read in one turn, so that a flood leaves turns for callers' sockets.
+/// Datagrams read per loop iteration, so that a flood of datagrams doesn't starve callers' sockets.
 constexpr int MaxReadsPerTurn = 64;
 
-/// Larger than any datagram that a router sends; what is cut off here fails its MAC.
+/// Larger than any datagram that a router sends; a truncated datagram fails the MAC check.
 constexpr std::size_t ReadBytes = 2048;
 
 struct Address
@@ -104,7 +104,7 @@
     Address to;
     if (m_d->fd < 0 || !parseAddress(address, to))
         return;
-    // A full socket buffer drops the datagram, as the network may: the protocol copes with loss.
+    // A full socket buffer drops the datagram, as the network may do; the protocol tolerates loss.
     (void)sendto(m_d->fd, datagram.data(), datagram.size(), MSG_NOSIGNAL, to.raw(),
                  static_cast<socklen_t>(to.length));
 }
--- a/src/Net/PeerTransport.h
+++ b/src/Net/PeerTransport.h
@@ -11,7 +11,7 @@
 
 class EventLoop;
 
-/// \brief Datagrams between routers over UDP.
+/// \brief Sends and receives datagrams between routers over UDP.
 class PeerTransport
 {
 public:
@@ -22,10 +22,10 @@
     PeerTransport(const PeerTransport &) = delete;
     PeerTransport &operator=(const PeerTransport &) = delete;
 
-    /// \returns an error where \a address, `ip:port`, can not be bound.
+    /// \returns an error if \a address, `ip:port`, can't be bound.
     Result<void> bind(const std::string &address);
 
-    /// \brief Sends \a datagram to \a address, `ip:port`. It may get lost; nobody is told.
+    /// \brief Sends \a datagram to \a address, `ip:port`. It may be lost without a notification.
     void send(const std::string &address, std::string_view datagram);
 
 private:
--- a/src/Net/PlatformAdapters.h
+++ b/src/Net/PlatformAdapters.h
@@ -11,15 +11,16 @@
 
 class HttpClient;
 
-/// \returns the table service of \a settings over HTTP; docs/INTERFACES.md has its format.
+/// \returns a client of the table service in \a settings over HTTP; docs/INTERFACES.md describes
+/// its format.
 std::unique_ptr<TableService> makeHttpTableService(HttpClient &client,
                                                    const PlatformSettings &settings);
 
-/// \returns the object store of \a settings over HTTP.
+/// \returns a client of the object store in \a settings over HTTP.
 std::unique_ptr<ObjectStore> makeHttpObjectStore(HttpClient &client,
                                                  const PlatformSettings &settings);
 
-/// \returns the VM list of \a settings over HTTP.
+/// \returns a client of the VM list in \a settings over HTTP.
 std::unique_ptr<VmList> makeHttpVmList(HttpClient &client, const PlatformSettings &settings);
 
 } // namespace catkinloft
--- a/src/Net/QuarantinePage.h
+++ b/src/Net/QuarantinePage.h
@@ -7,7 +7,7 @@
 
 namespace catkinloft {
 
-/// \returns the requests that are \a held back as a JSON object, for operators.
+/// \returns the quarantined requests \a held as a JSON object, for operators.
 std::string quarantinePage(std::span<const RequestQuarantine::Hold> held);
 
 } // namespace catkinloft
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -18,25 +18,27 @@
 
 namespace {
 
-/// How often the platform is asked for changes by a few routers.
+/// Shortest interval between reads of the platform's configuration and VM list.
 constexpr Duration PlatformPoll = std::chrono::seconds(1);
 
-/// Polls a second of the whole fleet, each two reads. Without it 890 routers would take 1,780 of
-/// the 2,000 reads a second that the table service gives, and all at once when it comes back; so
-/// the pause grows with the number of routers. Changes come from peers meanwhile.
+/// Limit on polls per second of the whole fleet, at two reads each. The interval between polls grows
+/// with the number of routers. Without the limit 890 routers would use 1,780 of the 2,000 reads per
+/// second that the table service allows, all at the same time after an outage. Between polls,
+/// changes are received from peers.
 constexpr double FleetPolls = 50;
 
-/// How often this router looks at itself: its load, and whether it is cut off.
+/// Interval of updates of this router's own load and of the check whether it is isolated.
 constexpr Duration SelfCheck = std::chrono::milliseconds(500);
 
-/// Without a word from the store or any other router for so long, this one may have missed an
-/// accepted change and says so. Longer than a restart of the store and than several probes.
+/// A router that has received nothing from the store or any other router for this long is isolated:
+/// it may have missed an accepted change, and reports that. Longer than a restart of the store and
+/// than several probes.
 constexpr Duration IsolationLimit = std::chrono::seconds(10);
 
-/// A load that is older than this says nothing about now.
+/// A reported load that is older than this is ignored.
 constexpr Duration LoadLife = std::chrono::seconds(5);
 
-/// How often a draining process looks whether it is done.
+/// Interval of checks whether a draining process has finished its requests.
 constexpr Duration DrainPoll = std::chrono::milliseconds(50);
 
 } // namespace
@@ -119,7 +121,8 @@
         std::vector<RouterView> routers{directory.self()};
         routers.front().load = static_cast<double>(gateway.inProgress());
         for (const auto &[name, it] : peers.membership().members()) {
-            // A suspect gets no callers and owns nothing until it has refuted the suspicion.
+            // A suspected router gets no callers and owns no engines until it has refuted the
+            // suspicion.
             if (it.state != MemberState::Alive && it.state != MemberState::Leaving)
                 continue;
             const bool isFresh = it.loadReceivedWithin(LoadLife, loop.now());
@@ -199,7 +202,7 @@
     Timer poll;
     Timer selfCheck;
     Timer drainPoll;
-    TimePoint refuseFrom; ///< Callers may hold older address answers until then.
+    TimePoint refuseFrom; ///< Callers may use outdated address answers until then.
     TimePoint drainDeadline;
     bool draining = false;
 };
--- a/src/Net/RouterProcess.h
+++ b/src/Net/RouterProcess.h
@@ -6,7 +6,7 @@
 
 namespace catkinloft {
 
-/// \brief The process of one entry VM: puts the tasks together and runs them until SIGTERM.
+/// \brief The process of one entry VM: creates and connects the tasks and runs them until SIGTERM.
 class RouterProcess
 {
 public:
@@ -14,7 +14,7 @@
     ~RouterProcess();
 
     /// \brief Serves until SIGTERM or SIGINT and then drains.
-    /// \returns 0, or 1 where an address can not be bound.
+    /// \returns 0, or 1 if an address can't be bound.
     int run();
 
 private:
--- a/src/Net/SettingsWatch.cpp
+++ b/src/Net/SettingsWatch.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// How often the file is read where nobody sends a signal. A read takes three system calls; none of
-/// what may change while a process runs is urgent.
+/// Interval of reads when no signal is sent. A read takes three system calls, and no setting that
+/// can change while a process runs is urgent.
 constexpr Duration CheckInterval = std::chrono::seconds(5);
 
 std::optional<std::string> readText(const std::string &file)
--- a/src/Net/SettingsWatch.h
+++ b/src/Net/SettingsWatch.h
@@ -11,31 +11,31 @@
 
 class EventLoop;
 
-/// \brief The task that notices when the settings file has changed, by SIGHUP or by looking.
+/// \brief Detects changes of the settings file, on SIGHUP and by polling.
 ///
-/// A file that can't be read or has mistakes changes nothing: each mistake is logged, and what was
-/// in force stays.
+/// A file that can't be read or is invalid changes nothing: each mistake is logged, and the active
+/// settings stay.
 class SettingsWatch
 {
 public:
     struct Options
     {
         EventLoop &loop;
-        std::string file; ///< Empty: there is none to watch.
+        std::string file; ///< Empty: no file is watched.
         std::function<void(const EntrySettings &)> onChange;
     };
 
     explicit SettingsWatch(Options options);
 
-    /// \brief Takes the present content for what is in force, and watches from now on.
+    /// \brief Starts to watch; the present content counts as the active settings.
     void start();
 
-    /// \brief Looks at once.
+    /// \brief Checks the file immediately.
     void check();
 
 private:
     Options m_options;
-    std::string m_text; ///< As last read.
+    std::string m_text; ///< Content that was read last.
     Timer m_timer;
 };
 
--- a/src/Net/StatusPage.cpp
+++ b/src/Net/StatusPage.cpp
@@ -19,7 +19,7 @@
         "td.n,th.n{text-align:right;font-variant-numeric:tabular-nums}"
         "meter{width:8rem}";
 
-/// Text that is safe between tags and in attribute values.
+/// \returns \a text with markup characters escaped, for use between tags and in attribute values.
 std::string escaped(std::string_view text)
 {
     std::string out;
@@ -50,7 +50,7 @@
     bool isNumber = false;
 };
 
-/// One table; rows hold cells that are escaped already.
+/// \returns an HTML table; the cells in \a rows must be escaped already.
 std::string table(std::string_view caption, std::initializer_list<Column> columns,
                   const std::vector<std::vector<std::string>> &rows)
 {
@@ -136,7 +136,7 @@
                  rows);
 }
 
-/// Joins what \a print makes of each entry with commas.
+/// \returns a JSON array of the entries of \a list, each formatted by \a print.
 template<typename List, typename Print>
 std::string jsonList(const List &list, Print print)
 {
--- a/src/Net/StatusPage.h
+++ b/src/Net/StatusPage.h
@@ -10,15 +10,15 @@
 
 namespace catkinloft {
 
-/// \brief What a router shows of itself and of what it knows of the others.
+/// \brief Status of a router and its view of the other routers.
 struct StatusReport
 {
     struct Upstream
     {
         std::string name;
         std::string pool; ///< Model or service.
-        double work = 0; ///< Tokens (engines) or calls (replicas) in progress, as known here.
-        double bound = 0; ///< Most work that the load bound allows now.
+        double work = 0; ///< Tokens (engines) or calls (replicas) in progress, as known locally.
+        double bound = 0; ///< Most work that the load bound allows at present.
         bool leaving = false;
         bool ejected = false;
     };
@@ -31,7 +31,7 @@
     struct Router
     {
         RouterView view;
-        std::uint64_t revision = 0; ///< Last heard of it.
+        std::uint64_t revision = 0; ///< Last revision that the router reported.
     };
     struct Count
     {
@@ -41,7 +41,7 @@
 
     std::string router;
     std::uint64_t revision = 0;
-    /// Since the table service last confirmed the revision; nothing: not yet.
+    /// Time since the table service last confirmed the revision; empty: not confirmed yet.
     std::optional<Duration> storeAge = {};
     std::size_t inProgress = 0;
     std::vector<Router> routers = {};
@@ -53,8 +53,9 @@
 /// \returns \a report as a JSON object on one line, for `catkinloft status`.
 std::string printStatusJson(const StatusReport &report);
 
-/// \returns \a report as a page of HTML without scripts: tables with captions and header cells, so
-/// that a keyboard and a screen reader suffice. Reloads itself every few seconds.
+/// \returns \a report as an HTML page without scripts that reloads itself every 5 seconds.
+///
+/// The tables have captions and header cells, so that a keyboard and a screen reader suffice.
 std::string printStatusPage(const StatusReport &report);
 
 } // namespace catkinloft
--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -12,21 +12,22 @@
 
 using namespace std::chrono_literals;
 
-/// How long one call waits for a change of the configuration, as a part of the time in which
-/// changes have to be in force. A proof is as old as the call when it returns, and twice that
-/// before the next one does.
+/// How long one call waits for a change of the configuration, as a fraction of the time in which
+/// changes have to be active. When a call returns, the freshness proof is as old as the call; before
+/// the next call returns, it is twice as old.
 constexpr double WaitPart = 0.2;
 
-/// A proof that is older than this part of it has missed several answers of readers, and is read
-/// from the store: the rest is for the reading. It holds whatever the readers do.
+/// Age of the freshness proof, as a fraction of the same time, at which any router reads the store
+/// itself: by then several answers of readers are missing. The rest of the time is left for the
+/// read. The time is thus kept regardless of the readers.
 constexpr double ConfigOverduePart = 0.8;
 
-/// Between two reads of the replicas, as a part of the time in which a draining replica must be
-/// known: the others' asking takes another three tenths of it.
+/// Interval between two reads of the replicas, as a fraction of the time in which a draining replica
+/// must be known. The asks of the other routers take another 0.3 of it.
 constexpr double ReplicasPart = 0.25;
 
-/// Part of the time in which a draining replica must be known, after which the list is read from
-/// the store: the rest is for the reading.
+/// Age of the replica list, as a fraction of the time in which a draining replica must be known, at
+/// which any router reads the store itself. The rest of the time is left for the read.
 constexpr double ReplicasOverduePart = 0.85;
 constexpr Duration CheckInterval = 200ms;
 
@@ -102,7 +103,7 @@
         m_storeVersion = 0;
         return watchConfig();
     }
-    // First: the proof of the configuration stands for them too.
+    // Evacuations first, because the freshness proof of the configuration covers them too.
     takeEvacuations(it);
     if (it.config)
         m_options.config.accept(it.config, began);
@@ -110,7 +111,7 @@
         m_options.config.confirm(m_options.config.revision(), began);
     m_storeVersion = it.storeVersion;
     if (!m_options.config.config())
-        m_configPlan.answeredEmpty(); // Nothing has been written yet, so there is nothing to watch.
+        m_configPlan.answeredEmpty(); // No configuration has been written yet that can be watched.
     else if (m_options.isReader())
         watchConfig();
 }
@@ -147,7 +148,7 @@
     m_options.replicas.apply(read.value(), began);
     if (!m_options.isReader())
         return;
-    // Spread, so that routers that started together do not read together.
+    // Jitter keeps routers that started at the same time from reading at the same time.
     const double spread = 0.9 + 0.2 * uniform(m_options.random);
     m_replicasTimer.start(scaled(m_options.settings.replicaDrainLimit, ReplicasPart * spread));
 }
@@ -165,7 +166,7 @@
         return;
     }
     plan.failed();
-    // An open connection may have gone silent while new ones work.
+    // An open connection may be dead while new connections succeed.
     m_options.store.dropConnections();
     if (!failing)
         Log::warning("store_lost", {{"reading", what}, {"detail", error->detail}});
--- a/src/Net/StoreWatch.h
+++ b/src/Net/StoreWatch.h
@@ -16,8 +16,10 @@
 
 class EventLoop;
 
-/// \brief The task that keeps configuration and replicas up to date. A few routers read the store
-/// all the time; the others ask them, and read the store themselves only when that does not help.
+/// \brief Keeps the configuration and the replicas up to date.
+///
+/// A few routers, the readers, read the store continuously. The others ask the readers, and read the
+/// store themselves only when their state is overdue.
 class StoreWatch
 {
 public:
@@ -30,11 +32,11 @@
         ReplicaRegistry &replicas;
         Metrics &metrics;
         RandomSource random;
-        std::function<void()> askPeer; ///< Nothing was heard of the store for too long.
-        std::function<bool()> isReader; ///< This router reads for the others.
-        std::function<int()> routers; ///< How many there are.
-        const EntrySettings &settings; ///< May change meanwhile.
-        std::function<void()> answered = [] {}; ///< The store has answered a call.
+        std::function<void()> askPeer; ///< Called while the state of the store is overdue.
+        std::function<bool()> isReader; ///< Whether this router reads on behalf of the fleet.
+        std::function<int()> routers; ///< Number of routers.
+        const EntrySettings &settings; ///< May change while the process runs.
+        std::function<void()> answered = [] {}; ///< Called after the store has answered a call.
     };
 
     explicit StoreWatch(Options options);
@@ -44,10 +46,10 @@
     /// \returns whether the last call to the store failed.
     bool isFailing() const { return m_configPlan.isFailing() || m_replicasPlan.isFailing(); }
 
-    /// \returns how long a router that reads the store has got no answer; zero for others.
+    /// \returns for how long a router that reads the store has received no answer; zero for others.
     Duration unansweredFor() const { return m_configPlan.unansweredFor(); }
 
-    /// \brief Takes over what a peer read.
+    /// \brief Applies a configuration that a peer read.
     void takeConfigText(const std::string &text, TimePoint readStartedAt);
 
     /// \brief Notes that the store answered another router, or another call of this one, at \a at.
@@ -65,10 +67,10 @@
     void noteResult(StoreReadPlan &plan, const char *what, const Error *error);
 
     Options m_options;
-    std::uint64_t m_storeVersion = 0; ///< Of the last read of the configuration; 0: none.
+    std::uint64_t m_storeVersion = 0; ///< At the last read of the configuration; 0: not read yet.
     StoreReadPlan m_configPlan;
     StoreReadPlan m_replicasPlan;
-    Timer m_replicasTimer; ///< Until the next read of a reader.
+    Timer m_replicasTimer; ///< Runs until the next read of a reader.
     Timer m_checkTimer;
 };
 
--- a/src/Net/Timer.cpp
+++ b/src/Net/Timer.cpp
@@ -20,7 +20,7 @@
             const timeval tv = internal::toTimeval(d->interval);
             event_add(d->ev, &tv);
         }
-        // A copy, because the callback may destroy the timer.
+        // Copied, because the callback may destroy the timer.
         const std::function<void()> callback = d->callback;
         callback();
     }
--- a/src/Net/Timer.h
+++ b/src/Net/Timer.h
@@ -18,7 +18,7 @@
     Timer(const Timer &) = delete;
     Timer &operator=(const Timer &) = delete;
 
-    /// \brief Fires once after \a delay; an earlier start is replaced.
+    /// \brief Fires once after \a delay; replaces an earlier start.
     void start(Duration delay);
 
     /// \brief Fires every \a interval until stop().
@@ -26,7 +26,7 @@
 
     void stop();
 
-    /// \returns whether it will fire.
+    /// \returns whether the timer is running.
     bool isPending() const;
 
 private:
--- a/src/Net/TlsContext.cpp
+++ b/src/Net/TlsContext.cpp
@@ -21,9 +21,9 @@
 {
     ContextPtr out(SSL_CTX_new(method));
     SSL_CTX_set_min_proto_version(out.get(), TLS1_2_VERSION);
-    // Load: 10,000 open connections, most of them idle. Harm prevented: 34 KB of buffers for each.
+    // Frees the buffers of idle connections, 34 KB each. Most of up to 10,000 connections are idle.
     SSL_CTX_set_mode(out.get(), SSL_MODE_RELEASE_BUFFERS);
-    // A renegotiation costs this side more than the one that asks for it.
+    // A renegotiation costs this side more than the side that requests it.
     SSL_CTX_set_options(out.get(), SSL_OP_NO_RENEGOTIATION);
     return out;
 }
@@ -31,8 +31,8 @@
 ContextPtr makeServerContext(const TlsSettings &settings)
 {
     ContextPtr out = makeContext(TLS_server_method());
-    // Callers come back to any router, whose ticket keys differ; a ticket would also outlive the
-    // key that was replaced.
+    // Callers reconnect to any router, and each router has its own ticket keys. A ticket would also
+    // stay valid after the key is replaced.
     SSL_CTX_set_options(out.get(), SSL_OP_NO_TICKET);
     SSL_CTX_set_session_cache_mode(out.get(), SSL_SESS_CACHE_OFF);
     if (SSL_CTX_use_certificate_chain_file(out.get(), settings.certificateFile.c_str()) != 1
--- a/src/Net/TlsContext.h
+++ b/src/Net/TlsContext.h
@@ -15,18 +15,20 @@
 
 namespace catkinloft {
 
-/// \returns what is wrong with the files of \a settings at \a now, each with its path: unreadable,
-/// a private key that others may read, a key of another certificate, a certificate that has expired
-/// or is not valid yet. Empty: none is, or TLS is off.
+/// \returns the problems of the files of \a settings at \a now, each with its path.
+///
+/// Problems are a file that can't be read, a private key that others may access, a key that doesn't
+/// belong to the certificate, and a certificate that has expired or is not valid yet. The result is
+/// empty if there are none or TLS is off.
 std::vector<std::string> tlsProblems(const TlsSettings &settings, WallTime now);
 
-/// \brief Certificates and keys of one process, for its listener and for its calls to upstreams.
+/// \brief Holds certificates and keys of one process, for its listener and its calls to upstreams.
 ///
-/// Sessions opened before reload() keep the certificate that they began with; no connection is cut.
+/// Sessions opened before another load() keep their certificate; no connection is closed.
 class TlsContext
 {
 public:
-    /// \param alert told of each fatal alert: whether this side sent it, and its name.
+    /// Called for each fatal alert, with whether this side sent it and its name.
     using AlertHook = std::function<void(bool sent, std::string_view alert)>;
 
     explicit TlsContext(TlsSettings settings, AlertHook alert = {});
@@ -34,26 +36,26 @@
     TlsContext(const TlsContext &) = delete;
     TlsContext &operator=(const TlsContext &) = delete;
 
-    /// \brief Reads the files. After an error everything stays as it was.
+    /// \brief Reads the files. After an error the previous certificates and keys stay in use.
     Result<void> load(WallTime now);
 
     /// \returns whether a file changed since load() succeeded.
     bool filesChanged() const;
 
-    /// \returns whether the listener speaks TLS.
+    /// \returns whether the listener uses TLS.
     bool hasCertificate() const { return !m_settings.certificateFile.empty(); }
 
-    /// \returns whether upstreams are spoken to over TLS.
+    /// \returns whether upstreams are called over TLS.
     bool checksUpstreams() const { return !m_settings.caFile.empty(); }
 
-    /// \returns when the listener's certificate expires; nothing without one.
+    /// \returns when the listener's certificate expires; empty without a certificate.
     std::optional<WallTime> expiry() const { return m_expiry; }
 
     /// \returns a new session of the listener; owned by the caller.
     ssl_st *newServerSession() const;
 
-    /// \returns a new session towards an upstream whose certificate has to name \a ip; owned by the
-    /// caller. nullptr without load() or a CA file.
+    /// \returns a new session to an upstream whose certificate has to be issued for \a ip; owned by
+    /// the caller. nullptr before load() or without a CA file.
     ssl_st *newClientSession(const std::string &ip) const;
 
 private:
@@ -63,7 +65,7 @@
     AlertHook m_alert;
     std::unique_ptr<Contexts> m_contexts;
     std::optional<WallTime> m_expiry;
-    std::string m_stamp; ///< Of the files when they were read.
+    std::string m_stamp; ///< Stamp of the files when they were read.
 };
 
 } // namespace catkinloft
--- a/src/Net/TlsTask.cpp
+++ b/src/Net/TlsTask.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A new certificate is in use within this time where nobody sends SIGHUP.
+/// Interval of checks for changed files: without SIGHUP a new certificate is used after this time.
 constexpr Duration FilePoll = std::chrono::seconds(10);
 
 } // namespace
@@ -42,7 +42,7 @@
 
     void reloadIfChanged()
     {
-        // A refused replacement is tried again: its second file may not have been written yet.
+        // A refused replacement is retried, because its second file may not have been written yet.
         if (context.filesChanged())
             load();
     }
--- a/src/Net/TlsTask.h
+++ b/src/Net/TlsTask.h
@@ -9,8 +9,9 @@
 
 class EventLoop;
 
-/// \brief Keeps a router's TLS files current: reads them at the start, again on SIGHUP and when one
-/// of them changed, and says in a metric when the certificate expires.
+/// \brief Loads a router's TLS files at startup, on SIGHUP and when one of them has changed.
+///
+/// A metric reports when the certificate expires.
 class TlsTask
 {
 public:
@@ -24,8 +25,8 @@
     explicit TlsTask(Options options);
     ~TlsTask();
 
-    /// \returns false, after logging why, where the files can't be used: a router never serves in
-    /// the clear what was meant to be encrypted.
+    /// \returns false, after logging the reason, if the files can't be used. The router must not
+    /// start then, because it would serve unencrypted what was meant to be encrypted.
     bool start();
 
     const TlsContext &context() const;
--- a/src/Net/internal/HttpTableService.cpp
+++ b/src/Net/internal/HttpTableService.cpp
@@ -77,7 +77,7 @@
                 done(answer.error());
                 return;
             }
-            // Refusals of the service (4xx, 503) are its word that nothing took effect.
+            // A refusal of the service (4xx, 503) guarantees that nothing took effect.
             if (answer.value().head.status != 200) {
                 done(storeError(answer.value().head.status, Verdict::NotRun));
                 return;
--- a/src/Net/internal/Timeval.h
+++ b/src/Net/internal/Timeval.h
@@ -6,7 +6,7 @@
 
 namespace catkinloft::internal {
 
-/// \returns \a d for libevent; negative durations become zero.
+/// \returns \a d as a timeval for libevent; negative durations become zero.
 inline timeval toTimeval(Duration d)
 {
     const auto micros = std::chrono::duration_cast<std::chrono::microseconds>(
--- a/src/Net/internal/TlsFiles.cpp
+++ b/src/Net/internal/TlsFiles.cpp
@@ -35,7 +35,8 @@
     return out;
 }
 
-/// An encrypted key counts as unreadable: nobody is there to type its password.
+/// Password callback that fails: an encrypted key can't be read, because nobody can enter its
+/// password.
 int noPassword(char *, int, int, void *)
 {
     return 0;
--- a/src/Net/internal/TlsFiles.h
+++ b/src/Net/internal/TlsFiles.h
@@ -9,7 +9,7 @@
 
 namespace catkinloft::internal {
 
-/// \brief The files that TLS settings name, and what is wrong with them.
+/// \brief Checks the files that are named in TLS settings.
 class TlsFiles
 {
 public:
@@ -18,10 +18,10 @@
     /// \sa tlsProblems()
     std::vector<std::string> problems(WallTime now) const;
 
-    /// \returns when the certificate expires, if there is one.
+    /// \returns when the certificate expires; empty without a certificate.
     std::optional<WallTime> expiry() const;
 
-    /// \returns a text that changes when one of the files is replaced or written.
+    /// \returns a text that changes when one of the files is replaced or modified.
     std::string stamp() const;
 
 private:
--- a/src/Net/internal/TlsStream.cpp
+++ b/src/Net/internal/TlsStream.cpp
@@ -17,8 +17,8 @@
         return nullptr;
     bufferevent *out =
             bufferevent_openssl_socket_new(base, -1, session, state, BEV_OPT_CLOSE_ON_FREE);
-    // Many peers close without the closing alert. An answer that was cut off is recognised by its
-    // length or last chunk, which HttpConnection asks of each.
+    // Many peers close without a close_notify alert. HttpConnection detects a truncated answer by
+    // its length or missing last chunk.
     if (out)
         bufferevent_openssl_set_allow_dirty_shutdown(out, 1);
     else
--- a/src/Net/internal/TlsStream.h
+++ b/src/Net/internal/TlsStream.h
@@ -11,14 +11,13 @@
 
 namespace catkinloft::internal {
 
-/// \returns the stream of one accepted connection of a TLS listener.
+/// \returns a stream for a connection that a TLS listener has accepted.
 bufferevent *newServerStream(event_base *base, const TlsContext &tls);
 
-/// \returns a stream to an upstream at \a ip; nullptr where \a tls has no certificates to check it
-/// against.
+/// \returns a stream to an upstream at \a ip; nullptr if \a tls has no CA certificates to verify it.
 bufferevent *newClientStream(event_base *base, const TlsContext &tls, const std::string &ip);
 
-/// \returns why the handshake of \a stream failed; empty where it didn't or there is no TLS.
+/// \returns why the handshake of \a stream failed; empty if it succeeded or \a stream has no TLS.
 std::string tlsRefusal(bufferevent *stream);
 
 } // namespace catkinloft::internal
--- a/test/Certificates.h
+++ b/test/Certificates.h
@@ -14,11 +14,11 @@
 
 namespace catkinloft {
 
-/// \brief A folder with the certificates of a test, made by libcrypto when it runs.
+/// \brief A temporary directory with certificates that libcrypto generates when the test runs.
 class Certificates
 {
 public:
-    /// \brief What a certificate says.
+    /// \brief Address and validity period of a certificate.
     struct Subject
     {
         std::string ip = "127.0.0.1";
@@ -51,7 +51,7 @@
 
     std::string path(const std::string &name) const { return m_folder + "/" + name; }
 
-    /// \param issuer nullptr: signed by itself.
+    /// \param issuer nullptr: the certificate is self-signed.
     static Pair make(const Subject &subject, const Pair *issuer = nullptr)
     {
         Pair out{.certificate = {X509_new(), &X509_free},
--- a/test/EventLoopTest.cpp
+++ b/test/EventLoopTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A loop and what its callbacks noted, in the order in which they ran.
+/// An event loop and the numbers that its callbacks recorded, in the order in which they ran.
 struct EventLoopFixture
 {
     void runUntil(std::size_t n)
@@ -31,7 +31,7 @@
 
 } // namespace
 
-// Guards against callbacks of one clock tick that run in any order.
+// Guards against callbacks that are due in the same clock tick running in arbitrary order.
 TEST_CASE_FIXTURE(EventLoopFixture, "eventLoop_callbacksOfOneDelay_runInTheirOrder")
 {
     constexpr int N = 300;
