--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -32,8 +32,8 @@
 /// Interval of checks whether to try to register, until registration is complete.
 constexpr Duration RegistrationPoll = 200ms;
 
-/// Shortest interval between reads of the registered routers. The list only finds routers from which
-/// no heartbeat was received, so it is read rarely: a call costs as much as a small request.
+/// Shortest interval between reads of the registered routers. The list only finds routers from
+/// which no heartbeat was received, so it is read rarely: a call costs as much as a small request.
 constexpr Duration RegistrationInterval = 10s;
 
 /// Shortest interval between reads of the whole fleet; the interval of one router is this times the
--- a/src/Net/EventLoop.h
+++ b/src/Net/EventLoop.h
@@ -11,7 +11,8 @@
 
 /// \brief The event loop of one thread; also its clock.
 ///
-/// The state of a task is accessed on this thread only. Other tasks pass it messages through post().
+/// The state of a task is accessed on this thread only. Other tasks pass it messages through
+/// post().
 class EventLoop final : public Clock
 {
 public:
@@ -32,8 +33,8 @@
     /// \brief Runs the callbacks that are due and returns. For tests.
     void runOnce();
 
-    /// \brief Queues \a callback behind the events that are being processed, so that it runs outside
-    /// of the caller's stack. Callbacks run in the order in which they were queued.
+    /// \brief Queues \a callback behind the events that are being processed, so that it runs
+    /// outside of the caller's stack. Callbacks run in the order in which they were queued.
     void post(Callback callback);
 
     /// \brief Calls \a callback once after \a delay. Callbacks run in the order in which they are
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -29,9 +29,9 @@
 using namespace std::chrono_literals;
 
 /// Interval at which a router that doesn't read the store asks one that does, as a fraction of the
-/// time in which changes have to be active. Its freshness proof is then at most three such intervals
-/// old, two of which are the reader's; the reader's heartbeat after a change arrives sooner. One ask
-/// costs two datagrams.
+/// time in which changes have to be active. Its freshness proof is then at most three such
+/// intervals old, two of which are the reader's; the reader's heartbeat after a change arrives
+/// sooner. One ask costs two datagrams.
 constexpr double AskPart = 0.2;
 
 /// Number of routers to which an ejection, or a request that crashes replicas, is announced
@@ -429,7 +429,8 @@
     if (!update)
         return Log::warning("peer_replicas_malformed", {{"detail", update.error().detail}});
     if (!options.replicas.applyUpdate(update.value(), readStartedAt))
-        Log::info("peer_replicas_unusable", {{"detail", "they change a list that is not known"}});
+        Log::info("peer_replicas_unusable",
+                  {{"detail", "the update is based on an unknown replica list"}});
 }
 
 void FleetTask::Private::takeState(const PeerState &state, TimePoint asked)
@@ -533,7 +534,8 @@
 
 bool FleetTask::isReader() const
 {
-    // Before the list of registered routers is known, this router would consider itself the only one.
+    // Before the list of registered routers is known, this router would consider itself the only
+    // one.
     return m_d->view.knowsRegistered() && m_d->isReader(m_d->readers());
 }
 
--- a/src/Net/FleetTask.h
+++ b/src/Net/FleetTask.h
@@ -44,14 +44,15 @@
         /// \sa RequestQuarantine::takeFirstCrashes
         std::function<std::vector<CrashUpdate>()> takeFirstCrashes;
         std::function<void(const RouterHeartbeat &)> onBeat;
-        /// Called for each heartbeat that is received before the key is known. It can't be verified,
-        /// so it is only a hint.
+        /// Called for each heartbeat that is received before the key is known. It can't be
+        /// verified, so it is only a hint.
         std::function<void(const RouterHeartbeat &)> onUnverifiedBeat =
                 [](const RouterHeartbeat &) {};
         /// Called with a configuration that a peer read from the store, and the time at which that
         /// read started.
         std::function<void(const std::string &text, TimePoint readStartedAt)> onConfigText;
-        std::function<PromptsByReplica()> prompts; ///< Prompts that replicas are estimated to cache.
+        std::function<PromptsByReplica()>
+                prompts; ///< Prompts that replicas are estimated to cache.
         std::function<void(const PromptsByReplica &)> onPrompts; ///< Called with a peer's estimate.
     };
 
--- a/src/Net/OperatorPages.cpp
+++ b/src/Net/OperatorPages.cpp
@@ -115,7 +115,8 @@
                           printStatusPage(report()));
         return;
     }
-    // Makes a browser ask its user for a name, which is ignored, and the operator's key as password.
+    // Makes a browser ask its user for a name, which is ignored, and the operator's key as
+    // password.
     exchange->respond(401,
                       {{"Content-Type", "text/plain"},
                        {"WWW-Authenticate", "Basic realm=\"catkinloft operators\""}},
--- a/src/Net/OperatorPages.h
+++ b/src/Net/OperatorPages.h
@@ -37,12 +37,13 @@
 
     explicit OperatorPages(Options options);
 
-    void where(const HttpExchangePtr &exchange); ///< The address of the router for a chat.
+    void where(const HttpExchangePtr &exchange); ///< The router for a model or a chat.
     void status(const HttpExchangePtr &exchange); ///< As JSON.
     void statusPage(const HttpExchangePtr &exchange); ///< For a browser.
     void readConfig(const HttpExchangePtr &exchange);
 
-    /// \brief Proposes the body as the new configuration, or with `rollback=N` the text of revision N.
+    /// \brief Proposes the body as the new configuration, or with `rollback=N` the text of revision
+    /// N.
     void writeConfig(const HttpExchangePtr &exchange);
     void history(const HttpExchangePtr &exchange);
 
--- a/src/Net/PeerTask.cpp
+++ b/src/Net/PeerTask.cpp
@@ -89,7 +89,7 @@
 {
     for (const std::string &it : options.settings.seeds)
         membership.addSeed(it);
-    // Connected after the propagator's own slot, which moves the next gossip deadline forward.
+    // Connected after the propagator's own slot, which requests that gossip is repeated soon.
     options.config.changed().connect([this](const InventoryPtr &) { schedule(); });
     options.metrics.addCollector([this](Metrics &metrics) {
         metrics.set("catkinloft_members", static_cast<double>(membership.liveCount() + 1));
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -21,10 +21,10 @@
 /// Shortest interval between reads of the platform's configuration and VM list.
 constexpr Duration PlatformPoll = std::chrono::seconds(1);
 
-/// Limit on polls per second of the whole fleet, at two reads each. The interval between polls grows
-/// with the number of routers. Without the limit 890 routers would use 1,780 of the 2,000 reads per
-/// second that the table service allows, all at the same time after an outage. Between polls,
-/// changes are received from peers.
+/// Limit on polls per second of the whole fleet, at two reads each. The interval between polls
+/// grows with the number of routers. Without the limit 890 routers would use 1,780 of the 2,000
+/// reads per second that the table service allows, all at the same time after an outage. Between
+/// polls, changes are received from peers.
 constexpr double FleetPolls = 50;
 
 /// Interval of updates of this router's own load and of the check whether it is isolated.
--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -13,8 +13,8 @@
 using namespace std::chrono_literals;
 
 /// How long one call waits for a change of the configuration, as a fraction of the time in which
-/// changes have to be active. When a call returns, the freshness proof is as old as the call; before
-/// the next call returns, it is twice as old.
+/// changes have to be active. When a call returns, the freshness proof is as old as the call;
+/// before the next call returns, it is twice as old.
 constexpr double WaitPart = 0.2;
 
 /// Age of the freshness proof, as a fraction of the same time, at which any router reads the store
@@ -22,8 +22,8 @@
 /// read. The time is thus kept regardless of the readers.
 constexpr double ConfigOverduePart = 0.8;
 
-/// Interval between two reads of the replicas, as a fraction of the time in which a draining replica
-/// must be known. The asks of the other routers take another 0.3 of it.
+/// Interval between two reads of the replicas, as a fraction of the time in which a draining
+/// replica must be known. The asks of the other routers take another 0.3 of it.
 constexpr double ReplicasPart = 0.25;
 
 /// Age of the replica list, as a fraction of the time in which a draining replica must be known, at
--- a/src/Net/StoreWatch.h
+++ b/src/Net/StoreWatch.h
@@ -18,8 +18,8 @@
 
 /// \brief Keeps the configuration and the replicas up to date.
 ///
-/// A few routers, the readers, read the store continuously. The others ask the readers, and read the
-/// store themselves only when their state is overdue.
+/// A few routers, the readers, read the store continuously. The others ask the readers, and read
+/// the store themselves only when their state is overdue.
 class StoreWatch
 {
 public:
--- a/src/Net/TlsContext.cpp
+++ b/src/Net/TlsContext.cpp
@@ -92,7 +92,8 @@
         next.client = makeClientContext(m_settings);
     ERR_clear_error();
     if ((hasCertificate() && !next.server) || (checksUpstreams() && !next.client))
-        return Error{.reason = Reason::ConfigInvalid, .detail = "a TLS file changed while read"};
+        return Error{.reason = Reason::ConfigInvalid,
+                     .detail = "a TLS file changed while it was being read"};
     for (SSL_CTX *it : {next.server.get(), next.client.get()}) {
         if (it) {
             SSL_CTX_set_app_data(it, &m_alert);
