--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-/// Items of news on one message. About 110 bytes each: the datagram stays under the 1,200 bytes
-/// that pass every link whole, together with a delta's own limit.
+/// Updates in one message, about 110 bytes each. Together with the limit on a delta, this keeps a
+/// datagram below the 1,200 bytes that no link fragments.
 constexpr std::size_t UpdatesPerMessage = 3;
 
-/// Members on a page of a whole list, for the same reason.
+/// Members in one page of the full list; limited for the same reason.
 constexpr std::size_t SyncPage = 6;
 
-/// Transmissions of one item for each factor of ten in the number of members. Three times
-/// log10(890) = 9 lets news reach all but one in e^9 members at no loss; the comparison of whole
-/// lists finds the rest.
+/// Transmissions of one update for each factor of ten in the number of members. Without loss, three
+/// times log10(890) = 9 transmissions reach all but one in e^9 members; the comparison of full
+/// lists covers the rest.
 constexpr double SendsPerDecade = 3;
 
-/// Pause before a gossip is repeated: longer than a round trip, so that the second wave starts from
-/// what the first one reached.
+/// Pause before gossip is sent a second time. It is longer than a round trip, so that the members
+/// reached by the first transmission take part in the second.
 constexpr Duration GossipPause = std::chrono::milliseconds(250);
 
-/// Candidates that are asked in one period: the list of 890 VMs is tried within minutes and costs
-/// no burst.
+/// Candidates that are contacted in one period. The list of 890 VMs is covered within minutes and
+/// without a burst of messages.
 constexpr std::size_t CandidatesPerPeriod = 2;
 
 bool isUp(MemberState state)
@@ -74,7 +74,7 @@
 
 std::size_t Membership::maxUpdatesPerMessage() const
 {
-    // Where the byte limit is near, news waits for later messages.
+    // Near the byte limit, updates wait for later messages.
     return !m_options.mayDefer || m_options.mayDefer() ? UpdatesPerMessage : 1;
 }
 
@@ -93,8 +93,8 @@
 
 Duration Membership::suspicionTime() const
 {
-    // A refutation has to travel to all: the time grows with the logarithm of the members, as
-    // spreading does. At 890 it is 6 s, at 9 it is 2.6 s.
+    // A refutation has to reach all members, and dissemination time grows with the logarithm of
+    // their number. The result is 6 s for 890 members and 2.6 s for 9.
     const double decades = std::log10(static_cast<double>(m_members.size()) + 10);
     return scaled(m_options.timing.period, m_options.timing.suspicionPeriods * decades);
 }
@@ -104,10 +104,11 @@
     if (message.from == m_self.name)
         return;
     m_lastReceivedAt = m_options.clock.now();
-    // Pages of a whole list bring what others know already: passing that on would fill messages.
-    const bool isNews = message.kind != PeerMessageKind::Sync;
+    // Pages of the full list hold what other members already know; disseminating it again would
+    // displace new updates.
+    const bool disseminate = message.kind != PeerMessageKind::Sync;
     for (const Member &it : message.updates)
-        accept(it, isNews);
+        accept(it, disseminate);
     handleSender(address, message);
     switch (message.kind) {
     case PeerMessageKind::Ping: {
@@ -145,8 +146,9 @@
 {
     const auto it = m_members.find(message.from);
     if (it == m_members.end() || message.incarnation > it->second.incarnation) {
-        // News is passed on a bounded number of times and may miss someone; whoever then hears from
-        // the member itself asks it. Its own page tells who it is.
+        // An update is disseminated a bounded number of times and may not reach every member. A
+        // router that receives a message from an unknown member requests a page of its list, which
+        // starts with the member itself.
         PeerMessage request = compose(PeerMessageKind::SyncRequest, message.from);
         request.updates = {m_self};
         if (message.kind != PeerMessageKind::SyncRequest && message.kind != PeerMessageKind::Sync)
@@ -156,67 +158,69 @@
     it->second.load = message.load;
     it->second.loadReceivedAt = m_lastReceivedAt;
     if (it->second.state == MemberState::Suspect || it->second.state == MemberState::Dead) {
-        // It lives, but only its own higher incarnation may say so to all: it gets told.
-        PeerMessage told = compose(PeerMessageKind::Gossip, message.from);
-        told.updates = {it->second};
-        m_options.send(address, std::move(told));
+        // The sender is alive, but only its own higher incarnation can refute the suspicion for all
+        // members, so it is notified.
+        PeerMessage notice = compose(PeerMessageKind::Gossip, message.from);
+        notice.updates = {it->second};
+        m_options.send(address, std::move(notice));
     }
 }
 
-void Membership::accept(const Member &updates, bool disseminate)
+void Membership::accept(const Member &update, bool disseminate)
 {
-    if (updates.name == m_self.name) {
-        refute(updates);
+    if (update.name == m_self.name) {
+        refute(update);
         return;
     }
-    const auto it = m_members.find(updates.name);
-    if (it == m_members.end() && updates.state == MemberState::Dead)
+    const auto it = m_members.find(update.name);
+    if (it == m_members.end() && update.state == MemberState::Dead)
         return;
-    if (it != m_members.end() && !overrides(updates, it->second))
+    if (it != m_members.end() && !overrides(update, it->second))
         return;
-    applyUpdate(updates, disseminate);
+    applyUpdate(update, disseminate);
 }
 
-void Membership::applyUpdate(const Member &updates, bool disseminate)
+void Membership::applyUpdate(const Member &update, bool disseminate)
 {
-    const auto old = m_members.find(updates.name);
+    const auto old = m_members.find(update.name);
     const bool isNew = old == m_members.end();
-    const bool stateChanged = isNew || old->second.state != updates.state;
-    Member &member = m_members[updates.name];
+    const bool stateChanged = isNew || old->second.state != update.state;
+    Member &member = m_members[update.name];
     const Member before = member;
-    member = updates;
+    member = update;
     member.load = before.load;
     member.loadReceivedAt = before.loadReceivedAt;
     if (disseminate)
-        m_updates.add(updates);
+        m_updates.add(update);
     if (isNew)
         m_order.insert(
                 m_order.begin()
                         + static_cast<std::ptrdiff_t>(below(m_options.random, m_order.size() + 1)),
-                updates.name);
-    m_candidates.erase(updates.name);
+                update.name);
+    m_candidates.erase(update.name);
     const TimePoint now = m_options.clock.now();
-    if (updates.state == MemberState::Suspect)
-        m_deadlines[updates.name] = now + suspicionTime();
-    else if (updates.state == MemberState::Dead)
-        m_deadlines[updates.name] = now + m_options.timing.deadRetention;
+    if (update.state == MemberState::Suspect)
+        m_deadlines[update.name] = now + suspicionTime();
+    else if (update.state == MemberState::Dead)
+        m_deadlines[update.name] = now + m_options.timing.deadRetention;
     else
-        m_deadlines.erase(updates.name);
+        m_deadlines.erase(update.name);
     if (!stateChanged)
         return;
-    // Death and leaving take callers off an address, so they don't wait for the next probe.
-    m_gossipPending = m_gossipPending || updates.state == MemberState::Dead
-            || updates.state == MemberState::Leaving;
+    // Callers must stop using the address of a dead or leaving router, so these updates do not wait
+    // for the next probe.
+    m_gossipPending = m_gossipPending || update.state == MemberState::Dead
+            || update.state == MemberState::Leaving;
     m_changed.emit(member);
 }
 
-void Membership::refute(const Member &updates)
+void Membership::refute(const Member &update)
 {
-    const bool wrong = updates.state != m_self.state;
-    if (updates.incarnation < m_self.incarnation
-        || (!wrong && updates.incarnation == m_self.incarnation))
+    const bool wrong = update.state != m_self.state;
+    if (update.incarnation < m_self.incarnation
+        || (!wrong && update.incarnation == m_self.incarnation))
         return;
-    m_self.incarnation = updates.incarnation + 1;
+    m_self.incarnation = update.incarnation + 1;
     m_updates.add(m_self);
     m_gossipPending = true;
 }
@@ -257,7 +261,7 @@
         startProbe();
         if (m_syncAfter)
             requestPage();
-        // A random part keeps routers that started together from probing together.
+        // Jitter keeps routers that started at the same time from probing in step.
         const double jitter = 0.9 + 0.2 * uniform(m_options.random);
         m_nextPeriod = now + scaled(m_options.timing.period, jitter);
     }
@@ -274,8 +278,8 @@
 
 std::string Membership::nextTarget()
 {
-    // A shuffled round bounds the longest time until a member is probed, where independent draws
-    // would leave some out for long.
+    // A shuffled round bounds the time until each member is probed; independent random draws would
+    // not.
     for (int round = 0; round < 2; ++round) {
         while (!m_order.empty()) {
             std::string name = std::move(m_order.back());
@@ -302,7 +306,7 @@
     PeerMessage ping = compose(PeerMessageKind::Ping, name);
     ping.probe = m_probe->id;
     const Member &member = m_members.at(name);
-    // A suspect hears of the suspicion from everybody who probes it, so that it can refute it.
+    // Every probe of a suspect member carries the suspicion, so that the member can refute it.
     if (member.state == MemberState::Suspect)
         ping.updates = {member};
     sendTo(member, std::move(ping));
@@ -316,17 +320,17 @@
     return m_probe->sent + m_options.timing.ackTimeout * m_probe->attempts;
 }
 
-/// A lost datagram is far more likely than a broken path, so the cheap repetition goes before the
-/// dozen messages of probes by others.
+/// Retries the probe directly before it asks other members: a lost datagram is far more likely than
+/// a broken path, and indirect probes cost a dozen messages.
 void Membership::retryProbe()
 {
     const auto it = m_members.find(m_probe->target);
     if (++m_probe->attempts > 2) {
         probeIndirectly();
     } else if (it != m_members.end()) {
-        PeerMessage again = compose(PeerMessageKind::Ping, it->first);
-        again.probe = m_probe->id;
-        sendTo(it->second, std::move(again));
+        PeerMessage retry = compose(PeerMessageKind::Ping, it->first);
+        retry.probe = m_probe->id;
+        sendTo(it->second, std::move(retry));
     }
 }
 
@@ -355,29 +359,30 @@
     const auto it = m_members.find(probe.target);
     if (probe.answered || it == m_members.end())
         return;
-    // A router that was paused itself finds its probe unanswered through no fault of the target.
+    // If this router itself was paused, the missing answer says nothing about the target.
     if (m_options.clock.now() > probe.sent + 2 * m_options.timing.period)
         return;
-    // Each suspicion is news to all and so is its refutation: at a loss of a fifth they would take
-    // the whole byte limit of 90 routers. A second failed probe in a row costs a second's delay.
+    // Each suspicion is disseminated to all members and so is its refutation. With a fifth of the
+    // datagrams lost, these updates would use up the whole byte limit of 90 routers. Waiting for a
+    // second failed probe in a row delays detection by one second.
     if (!isSecond) {
         m_retryTarget = probe.target;
         return;
     }
-    Member updates = it->second;
-    if (updates.state == MemberState::Alive)
-        updates.state = MemberState::Suspect;
-    else if (updates.state == MemberState::Leaving)
-        updates.state = MemberState::Dead;
-    if (overrides(updates, it->second))
-        applyUpdate(updates);
+    Member update = it->second;
+    if (update.state == MemberState::Alive)
+        update.state = MemberState::Suspect;
+    else if (update.state == MemberState::Leaving)
+        update.state = MemberState::Dead;
+    if (overrides(update, it->second))
+        applyUpdate(update);
 }
 
 void Membership::contactCandidates()
 {
     std::vector<std::string> addresses;
     for (const auto &[name, address] : m_candidates) {
-        // Seeds are only for a router that knows nobody.
+        // Seeds are used only while no other member is known.
         if (!name.starts_with("seed ") || liveCount() == 0)
             addresses.push_back(address);
     }
@@ -421,9 +426,9 @@
     requestPage();
 }
 
-/// Load: a router that comes up among 890 reads 150 pages, 1,200 times a day in the fleet. Each
-/// page is asked of another member, so that no router pays for the whole list; a lost page is asked
-/// for again in the next period.
+/// Handles routers that start in a fleet of 890 and read 150 pages each, 1,200 times a day in the
+/// fleet. Each page is requested from another member, so that no member has to send the full list.
+/// A lost page is requested again in the next period.
 void Membership::requestPage()
 {
     if (m_options.mayDefer && !m_options.mayDefer())
@@ -432,7 +437,7 @@
         PeerMessage request = compose(PeerMessageKind::SyncRequest, it->name);
         request.target = m_syncAfter.value_or("");
         request.updates = {m_self};
-        // The hash spares the pages where the lists agree, which is nearly always.
+        // If the lists are equal, which is the usual case, the hash saves sending the pages.
         if (request.target.empty())
             request.listHash = listHash();
         m_options.send(it->peerAddress, std::move(request));
@@ -441,7 +446,7 @@
 
 std::uint64_t Membership::listHash() const
 {
-    // A sum, so that the place of this router in its own list does not matter.
+    // The sum does not depend on the order, as this router is not in its own list.
     const auto one = [](const Member &it) {
         return it.state == MemberState::Dead
                 ? 0
@@ -478,7 +483,7 @@
         m_syncAfter.reset();
         return;
     }
-    // An answer to an older request must not take the reading back.
+    // An answer to an older request must not move the position back.
     if (m_syncAfter.value_or("") >= message.target)
         return;
     m_syncAfter = message.target;
@@ -487,7 +492,7 @@
 
 void Membership::gossip()
 {
-    // Where the byte limit leaves no room now, it stays wanted.
+    // If the byte limit leaves no room now, the gossip stays pending.
     if (m_options.mayDefer && !m_options.mayDefer())
         return;
     m_gossipPending = false;
@@ -532,9 +537,9 @@
     announceLeave();
 }
 
-/// Load: a router that stops, in a fleet of any size. Harm prevented: news that others pass on a
-/// bounded number of times may miss a member, which then names the stopped router to callers until
-/// probes fail. Whoever leaves tells members itself, as many as it has time for.
+/// Notifies members directly that this router leaves, as many as there is time for. Other members
+/// disseminate the update only a bounded number of times; a member that it does not reach would
+/// name the stopped router to callers until probes fail.
 void Membership::announceLeave()
 {
     for (int i = 0; i < m_options.timing.gossipFanout && !m_leaveRecipients.empty(); ++i) {
@@ -542,9 +547,9 @@
         m_leaveRecipients.pop_back();
         if (it == m_members.end())
             continue;
-        PeerMessage told = compose(PeerMessageKind::Gossip, it->first);
-        told.updates = {m_self};
-        sendTo(it->second, std::move(told));
+        PeerMessage notice = compose(PeerMessageKind::Gossip, it->first);
+        notice.updates = {m_self};
+        sendTo(it->second, std::move(notice));
     }
     if (!m_leaveRecipients.empty())
         m_gossipRepeatAt = m_options.clock.now() + GossipPause;
--- a/src/Decide/RequestQuarantine.cpp
+++ b/src/Decide/RequestQuarantine.cpp
@@ -17,52 +17,56 @@
 
 constexpr Duration MaxHoldTime = 2h;
 
-/// All that runs on a replica breaks within milliseconds of its end; routers tell each other ages,
-/// which are off by the time on the way.
+/// Connections to a replica break within milliseconds of its crash. The rest allows for the network
+/// delay, which makes the ages in updates inaccurate.
 constexpr Duration CrashDetectionSpread = 250ms;
 
-/// How long a request that is not held back stays suspect after its last end.
+/// How long a request that is not held back stays suspected after its last crash.
 constexpr Duration SuspicionLifetime = 10min;
 
-/// How long a router remembers that a request was cleared, for those that lack the news.
+/// How long a router remembers that a request was cleared, to inform routers that missed the
+/// update.
 constexpr Duration ClearedLifetime = 30s;
 
-/// A record that was cleared so lately is not brought up to date: a request that many send
-/// completes many times a second.
+/// A record that was cleared less than this time ago is not updated, because a request that many
+/// callers send completes many times per second.
 constexpr Duration ClearedResolution = 500ms;
 
-/// Time for the news of other routers to come: a request that shares the ends may have more of
-/// them.
+/// Time for the updates of other routers to arrive. They may show that another request which shares
+/// the crashes has more incidents.
 constexpr Duration SettleTime = 200ms;
 
-/// Between the trials of two routers: the second hears how that of the first went.
+/// Average time between the trials of two routers, so that the second router receives the outcome
+/// of the first trial.
 constexpr Duration TrialSpacing = 2s;
 
-/// Longest trial that keeps others of the same router waiting.
+/// Time after which a router may start another trial although the previous one has no outcome.
 constexpr Duration TrialTimeout = 5s;
 
-/// Messages that carry a piece of news: the first to the routers that come next, the others for
-/// datagrams that are lost. Each router that learns it passes it on.
+/// Number of messages that carry an update for all routers: the first one delivers it to the next
+/// routers, the others compensate for lost datagrams. Each router that learns it forwards it.
 constexpr int SendsToAll = 3;
 
-/// The same to the keepers of a request's evidence.
+/// Number of messages that carry an update to the routers that hold the evidence of a request.
 constexpr int SendsToHolders = 2;
 
-/// How often one of the requests that are held back is told again, for routers that started or were
-/// cut off. They hear it from all others in turn.
+/// How often one of the held requests is announced again, for routers that started or were cut off.
+/// All other routers do so, one request at a time.
 constexpr Duration ReannounceInterval = 2s;
 
-/// Of one message, which has to fit a datagram beside what else it carries: some 500 bytes.
+/// Limits of one message. About 500 bytes, so that it fits into one datagram with its other
+/// content.
 constexpr std::size_t MaxRecordsPerMessage = 8;
 constexpr std::size_t MaxCrashesPerMessage = 8;
 
-/// Requests whose first end is told at once; more only run on a replica with as many places.
+/// Maximum number of first incidents that takeFirstCrashes() returns in one call. One crash only
+/// causes more when the replica ran more requests than this at the same time.
 constexpr std::size_t MaxFirstCrashes = 64;
 
-/// Nothing is remembered for so long; what is told as older is a mistake.
+/// No router remembers a crash for this long, so an update with a higher age is invalid.
 constexpr Duration MaxReceivedAge = 24h;
 
-/// Part of the records that is dropped at once when there are too many.
+/// When there are too many records, one in this many is dropped.
 constexpr std::size_t EvictionDivisor = 4;
 
 void logRelease(std::string_view fingerprint, std::string_view cause)
@@ -124,8 +128,8 @@
 
 Duration RequestQuarantine::trialDelay(const Entry &entry) const
 {
-    const Duration all = std::min<Duration>(MinHoldTime, TrialSpacing * m_options.routers());
-    return scaled(all, entry.trialPosition);
+    const Duration maxDelay = std::min<Duration>(MinHoldTime, TrialSpacing * m_options.routers());
+    return scaled(maxDelay, entry.trialPosition);
 }
 
 Duration RequestQuarantine::holdTime(const Entry &entry)
@@ -201,19 +205,21 @@
     }
 }
 
-/// What broke later was sent to a replica that had ended, behind a proxy that still listens.
-bool RequestQuarantine::wasRunning(const ReplicaCrash &end) const
+/// \returns whether the replica was still running when the request was sent. One that is recorded
+/// more than CrashDetectionSpread after the first crash of this incarnation comes from a request
+/// that was sent to the crashed replica, behind a proxy that still accepted connections.
+bool RequestQuarantine::wasRunning(const ReplicaCrash &crash) const
 {
-    const auto first = m_crashTimes.find(end.replica);
-    return first == m_crashTimes.end() || end.at - first->second <= CrashDetectionSpread;
+    const auto first = m_crashTimes.find(crash.replica);
+    return first == m_crashTimes.end() || crash.at - first->second <= CrashDetectionSpread;
 }
 
 void RequestQuarantine::countIncidents(Entry &entry) const
 {
     entry.incidents =
-            entry.record.incidents([this](const ReplicaCrash &end) { return wasRunning(end); });
-    entry.unexplainedIncidents = entry.record.incidents([this](const ReplicaCrash &end) {
-        return wasRunning(end) && !m_explained.contains(end.replica);
+            entry.record.incidents([this](const ReplicaCrash &crash) { return wasRunning(crash); });
+    entry.unexplainedIncidents = entry.record.incidents([this](const ReplicaCrash &crash) {
+        return wasRunning(crash) && !m_explained.contains(crash.replica);
     });
 }
 
@@ -221,7 +227,7 @@
 {
     updateCrashTimes(entry.record);
     countIncidents(entry);
-    // Others are only concerned by a request that is, or was, held back.
+    // Only a request that is held back, or could be, affects the state of others.
     if (entry.isHeld || entry.incidents >= MinIncidents)
         decide();
 }
@@ -244,28 +250,29 @@
         const bool held = entry.unexplainedIncidents >= MinIncidents && !isTied(entry, suspects);
         if (held != entry.isHeld)
             setHeld(it->first, entry, held);
-        for (const ReplicaCrash &end : entry.record.replicaCrashes()) {
+        for (const ReplicaCrash &crash : entry.record.replicaCrashes()) {
             if (held)
-                m_explained.insert(end.replica);
+                m_explained.insert(crash.replica);
         }
     }
     for (auto &[fingerprint, entry] : m_records)
         countIncidents(entry);
 }
 
-/// \returns whether another request has as many of the same ends, so that the next one has to tell.
-/// If both go on to share them, the order of decide() does.
+/// \returns whether another request shares crashes with \a entry and has at least as many
+/// incidents, so that only the next crash can show which one is the cause. With more than
+/// MinIncidents incidents the request that comes first in the order of decide() is held back.
 bool RequestQuarantine::isTied(const Entry &entry,
                                std::span<Records::value_type *const> suspects) const
 {
     if (entry.incidents > MinIncidents)
         return false;
-    const auto shares = [&](const ReplicaCrash &end) { return entry.record.has(end.replica); };
+    const auto shares = [&](const ReplicaCrash &crash) { return entry.record.has(crash.replica); };
     return std::any_of(suspects.begin(), suspects.end(), [&](const Records::value_type *it) {
         const Entry &other = it->second;
-        const std::span<const ReplicaCrash> replicaCrashes = other.record.replicaCrashes();
+        const std::span<const ReplicaCrash> otherCrashes = other.record.replicaCrashes();
         return &other != &entry && other.incidents >= entry.incidents
-                && std::any_of(replicaCrashes.begin(), replicaCrashes.end(), shares);
+                && std::any_of(otherCrashes.begin(), otherCrashes.end(), shares);
     });
 }
 
@@ -286,8 +293,9 @@
                       {"for_ms", hold.remaining / 1ms}});
     else
         logRelease(fingerprint,
-                   entry.record.replicaCrashes().empty() ? "a run completed"
-                                                         : "another request explains the ends");
+                   entry.record.replicaCrashes().empty()
+                           ? "a run completed"
+                           : "another held request explains the crashes");
 }
 
 RequestQuarantine::Entry &RequestQuarantine::findOrInsert(const std::string &fingerprint)
@@ -326,7 +334,7 @@
     const std::size_t removed = std::erase_if(m_records, [&](const auto &it) {
         const bool isExpired = now - it.second.record.lastEventAt() > lifetime(it.second);
         if (isExpired && it.second.isHeld)
-            logRelease(it.first, "nobody has sent it for long");
+            logRelease(it.first, "no crash within twice the hold time");
         return isExpired;
     });
     if (removed == 0)
@@ -349,18 +357,18 @@
             scheduleAnnouncement(entry, false);
         } else if (!received.replicaCrashes().empty()
                    && received.clearedAt() < entry.record.clearedAt()) {
-            entry.remainingSends =
-                    std::max(entry.remainingSends, 1); // The sender lacks that it was cleared.
+            // The sender does not know yet that the request was cleared.
+            entry.remainingSends = std::max(entry.remainingSends, 1);
         }
     }
 }
 
-CrashRecord RequestQuarantine::toRecord(const CrashUpdate &updates, TimePoint now)
+CrashRecord RequestQuarantine::toRecord(const CrashUpdate &crashUpdate, TimePoint now)
 {
     CrashRecord out;
-    if (updates.clearedAge && *updates.clearedAge <= MaxReceivedAge)
-        out.clear(now - *updates.clearedAge);
-    for (const CrashUpdate::Crash &it : updates.replicaCrashes) {
+    if (crashUpdate.clearedAge && *crashUpdate.clearedAge <= MaxReceivedAge)
+        out.clear(now - *crashUpdate.clearedAge);
+    for (const CrashUpdate::Crash &it : crashUpdate.replicaCrashes) {
         if (it.age <= MaxReceivedAge)
             out.add({.replica = it.replica, .software = it.software, .at = now - it.age});
     }
@@ -400,11 +408,11 @@
                 < std::tuple(-y.incidents, -y.remainingSends, y.lastSentAt);
     });
     std::vector<CrashUpdate> out;
-    std::size_t replicaCrashes = 0;
+    std::size_t crashCount = 0;
     for (Records::value_type *it : due) {
-        replicaCrashes += it->second.record.replicaCrashes().size();
+        crashCount += it->second.record.replicaCrashes().size();
         if (out.size() == MaxRecordsPerMessage
-            || (!out.empty() && replicaCrashes > MaxCrashesPerMessage))
+            || (!out.empty() && crashCount > MaxCrashesPerMessage))
             break;
         out.push_back(makeUpdate(it->first, it->second));
         --it->second.remainingSends;
