--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -32,7 +32,7 @@
 /// time in which changes have to be active. Its freshness proof is then at most three such
 /// intervals old, two of which are the reader's; the reader's heartbeat after a change arrives
 /// sooner. One ask costs two datagrams.
-constexpr double AskPart = 0.2;
+constexpr double AskIntervalFraction = 0.2;
 
 /// Number of routers to which an ejection, or a request that crashes replicas, is announced
 /// immediately. In a large fleet many routers eject a failing replica, so that each of the others
@@ -40,14 +40,14 @@
 constexpr std::size_t UrgentFanout = 78;
 
 /// All requests on a replica break at the same time; the delay collects them in one datagram.
-constexpr Duration CrashTellDelay = 20ms;
+constexpr Duration CrashAnnounceDelay = 20ms;
 
 /// Routers that hold the evidence against one request: enough that one of them is running and
 /// receives all of it while others start or are disconnected. In a small fleet all routers hold it.
-constexpr std::size_t EvidenceKeepers = 8;
+constexpr std::size_t EvidenceHolders = 8;
 
 /// First crashes in one datagram, at about 90 bytes each.
-constexpr std::size_t MaxFirstEnds = 7;
+constexpr std::size_t MaxFirstCrashes = 7;
 
 /// Prompt parts in one heartbeat, which has to fit one datagram of 1,200 bytes together with the
 /// counts. The limit is reached only above 100 prompts per second and router. Parts that don't fit
@@ -64,7 +64,7 @@
 /// answer in milliseconds. A transfer that makes progress continues: a large configuration takes a
 /// second over a link of 10 Mbit/s that also carries streams, and aborting it would waste the part
 /// that was sent.
-constexpr Duration PeerSilence = 600ms;
+constexpr Duration PeerTimeout = 600ms;
 
 /// Timeout of a whole transfer, as a multiple of the time in which changes have to be active. By
 /// then the store has been read directly.
@@ -100,20 +100,21 @@
     void sendToAll(const RouterHeartbeat &heartbeat) { sendToNext(view.addressCount(), heartbeat); }
     void noteUnanswered();
     void heartbeat();
-    void tellCrashes();
-    void tellFirstEnds();
+    void announceCrashes();
+    void announceFirstCrashes();
     void ask();
     void received(std::string_view datagram);
     void receivedUnverified(const std::string &text);
-    void takeEcho(const RouterHeartbeat &heartbeat);
-    void noticeNews(const RouterHeartbeat &heartbeat);
+    void applyEcho(const RouterHeartbeat &heartbeat);
+    void fetchIfNewer(const RouterHeartbeat &heartbeat);
     void fetchFrom(const FleetView::Peer &peer);
     void answerState(const HttpExchangePtr &exchange);
     PeerState stateSince(std::uint64_t revision, std::uint64_t replicasHash, bool withPrompts);
-    void takeAnswer(const std::string &name, const Result<HttpAnswer> &answer, TimePoint asked);
-    void takeState(const PeerState &state, TimePoint asked);
-    void takeConfig(const PeerState &state, TimePoint asked);
-    void takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
+    void handleStateAnswer(const std::string &name, const Result<HttpAnswer> &answer,
+                           TimePoint asked);
+    void applyState(const PeerState &state, TimePoint asked);
+    void applyConfig(const PeerState &state, TimePoint asked);
+    void applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
     const PeerState::Packed &replicasSince(std::uint64_t hash);
     std::string signedText(const std::string &text) const { return guard.sign(text) + "\n" + text; }
 
@@ -147,13 +148,13 @@
       view({.clock = options.loop,
             .self = options.settings.name,
             .selfAddress = options.settings.peerAddress,
-            .configApplyLimit = options.settings.configApplyLimit}),
+            .configApplyTimeout = options.settings.configApplyTimeout}),
       transport(options.loop, [this](const std::string &, std::string_view it) { received(it); }),
       server(options.loop, {.address = options.settings.peerAddress, .limits = {}},
              [this](const HttpExchangePtr &it) { answerState(it); }),
       timer(options.loop, [this] { heartbeat(); }), askTimer(options.loop, [this] { ask(); }),
-      crashTimer(options.loop, [this] { tellCrashes(); }),
-      catchUp({.configApplyLimit = options.settings.configApplyLimit}),
+      crashTimer(options.loop, [this] { announceCrashes(); }),
+      catchUp({.configApplyTimeout = options.settings.configApplyTimeout}),
       incarnation(static_cast<std::uint64_t>(options.loop.wallNow().time_since_epoch().count()))
 {
     options.config.changed().connect(
@@ -226,37 +227,37 @@
     if (!hasKey)
         return;
     RouterHeartbeat out = compose();
-    out.crashes = options.takeCrashNews();
+    out.crashes = options.takeCrashUpdates();
     out.prompts = prompts.take(view.heartbeatsPerRound(),
                                out.crashes.empty() ? MaxPromptParts : MaxPromptPartsBesideCrashes);
     sendToNext(FleetView::HeartbeatFanout, out);
-    tellFirstEnds();
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellCrashes()
+void FleetTask::Private::announceCrashes()
 {
     if (!hasKey)
         return;
-    if (std::vector<CrashUpdate> news = options.takeCrashNews(); !news.empty()) {
+    if (std::vector<CrashUpdate> updates = options.takeCrashUpdates(); !updates.empty()) {
         RouterHeartbeat out = compose();
-        out.crashes = std::move(news);
+        out.crashes = std::move(updates);
         sendToNext(UrgentFanout, out);
     }
-    tellFirstEnds();
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellFirstEnds()
+void FleetTask::Private::announceFirstCrashes()
 {
-    std::map<std::string, std::vector<CrashUpdate>> byKeeper;
+    std::map<std::string, std::vector<CrashUpdate>> byHolder;
     for (const CrashUpdate &it : options.takeFirstCrashes()) {
-        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceKeepers))
-            byKeeper[address].push_back(it);
+        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceHolders))
+            byHolder[address].push_back(it);
     }
-    for (const auto &[address, news] : byKeeper) {
-        for (std::size_t i = 0; i < news.size(); i += MaxFirstEnds) {
+    for (const auto &[address, updates] : byHolder) {
+        for (std::size_t i = 0; i < updates.size(); i += MaxFirstCrashes) {
             RouterHeartbeat out = compose();
-            const std::size_t n = std::min(MaxFirstEnds, news.size() - i);
-            const auto part = std::span(news).subspan(i, n);
+            const std::size_t n = std::min(MaxFirstCrashes, updates.size() - i);
+            const auto part = std::span(updates).subspan(i, n);
             out.crashes.assign(part.begin(), part.end());
             send(address, out);
         }
@@ -267,7 +268,7 @@
 {
     const TimePoint now = options.loop.now();
     std::erase_if(asks, [&](const Ask &it) {
-        const bool overdue = now - it.at > PeerSilence;
+        const bool overdue = now - it.at > PeerTimeout;
         if (overdue)
             view.noteUnanswered(it.reader, it.at);
         return overdue;
@@ -317,18 +318,18 @@
     // Before the freshness proof is applied, because the proof covers the evacuations too.
     options.evacuated.accept(heartbeat.evacuated);
     if (heartbeat.echo != 0)
-        takeEcho(heartbeat);
-    noticeNews(heartbeat);
-    options.onBeat(heartbeat);
+        applyEcho(heartbeat);
+    fetchIfNewer(heartbeat);
+    options.onHeartbeat(heartbeat);
 }
 
 void FleetTask::Private::receivedUnverified(const std::string &text)
 {
     if (const Result<RouterHeartbeat> read = codec.unpack(text))
-        options.onUnverifiedBeat(read.value());
+        options.onUnverifiedHeartbeat(read.value());
 }
 
-void FleetTask::Private::takeEcho(const RouterHeartbeat &heartbeat)
+void FleetTask::Private::applyEcho(const RouterHeartbeat &heartbeat)
 {
     // Only an answer proves freshness, because it was sent after its ask. Any other datagram may
     // have been queued on this VM for as long as the VM was suspended.
@@ -345,7 +346,7 @@
                                  asked - heartbeat.replicasAge);
 }
 
-void FleetTask::Private::noticeNews(const RouterHeartbeat &heartbeat)
+void FleetTask::Private::fetchIfNewer(const RouterHeartbeat &heartbeat)
 {
     const PeerCatchUp::Known own{.revision = options.config.revision(),
                                  .proofAge = options.config.proofAge(),
@@ -406,7 +407,7 @@
     return packedReplicas.emplace(hash, PeerState::Packed::of(update.encode())).first->second;
 }
 
-void FleetTask::Private::takeConfig(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyConfig(const PeerState &state, TimePoint asked)
 {
     const RouteConfigPtr &own = options.config.config();
     // The answer may belong to an older ask: a delta to another base than the active configuration
@@ -421,7 +422,7 @@
         Log::warning("peer_state_malformed", {{"detail", text.error().detail}});
 }
 
-void FleetTask::Private::takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
+void FleetTask::Private::applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
 {
     const Result<std::string> text = packed.text();
     const Result<ReplicaUpdate> update =
@@ -433,16 +434,16 @@
                   {{"detail", "the update is based on an unknown replica list"}});
 }
 
-void FleetTask::Private::takeState(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyState(const PeerState &state, TimePoint asked)
 {
     options.evacuated.accept(state.evacuated);
     // With an age of Duration::max() the peer has no data that the age would apply to.
     if (state.config)
-        takeConfig(state, asked);
+        applyConfig(state, asked);
     else if (state.revision != 0)
         options.config.confirm(state.revision, asked - state.proofAge);
     if (state.replicas)
-        takeReplicas(*state.replicas, asked - state.replicasAge);
+        applyReplicas(*state.replicas, asked - state.replicasAge);
     else if (state.replicasAge != Duration::max())
         options.replicas.confirm(state.replicasHash, state.replicasVersion,
                                  asked - state.replicasAge);
@@ -467,10 +468,10 @@
 
 void FleetTask::applySettings()
 {
-    const Duration limit = m_d->options.settings.configApplyLimit;
-    m_d->view.setConfigApplyLimit(limit);
-    m_d->catchUp.setConfigApplyLimit(limit);
-    m_d->askTimer.startRepeating(scaled(limit, AskPart));
+    const Duration limit = m_d->options.settings.configApplyTimeout;
+    m_d->view.setConfigApplyTimeout(limit);
+    m_d->catchUp.setConfigApplyTimeout(limit);
+    m_d->askTimer.startRepeating(scaled(limit, AskIntervalFraction));
 }
 
 void FleetTask::setKey(const SharedKey &key)
@@ -488,7 +489,7 @@
 void FleetTask::leave()
 {
     m_d->leaving = true;
-    tellAll();
+    announceToAll();
 }
 
 void FleetTask::fetchFromPeer()
@@ -497,24 +498,24 @@
         m_d->fetchFrom(*peer);
 }
 
-void FleetTask::tellAll()
+void FleetTask::announceToAll()
 {
     m_d->sendToAll(m_d->compose());
 }
 
-void FleetTask::tellEjected()
+void FleetTask::announceEjection()
 {
     m_d->sendToNext(UrgentFanout, m_d->compose());
 }
 
-void FleetTask::tellCrashes()
+void FleetTask::announceCrashes()
 {
     if (!m_d->crashTimer.isPending())
-        m_d->crashTimer.start(CrashTellDelay);
+        m_d->crashTimer.start(CrashAnnounceDelay);
 }
 
-void FleetTask::tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
-                           std::span<const std::string> addresses)
+void FleetTask::announceDiscovered(const std::string &replica, std::span<const std::uint64_t> parts,
+                                   std::span<const std::string> addresses)
 {
     do {
         const std::size_t n = std::min(parts.size(), MaxPromptParts);
@@ -553,17 +554,17 @@
             {.address = peer.heartbeat.peerAddress,
              .target = std::move(target),
              .headers = {{SignatureHeader, std::move(signature)}},
-             .timeout = StateTimeoutFactor * options.settings.configApplyLimit,
-             .progressTimeout = PeerSilence,
+             .timeout = StateTimeoutFactor * options.settings.configApplyTimeout,
+             .progressTimeout = PeerTimeout,
              .maxBodyBytes = MaxStateBody},
             [this, asked, name = peer.heartbeat.name](const Result<HttpAnswer> &answer) {
                 fetching = false;
-                takeAnswer(name, answer, asked);
+                handleStateAnswer(name, answer, asked);
             });
 }
 
-void FleetTask::Private::takeAnswer(const std::string &name, const Result<HttpAnswer> &answer,
-                                    TimePoint asked)
+void FleetTask::Private::handleStateAnswer(const std::string &name,
+                                           const Result<HttpAnswer> &answer, TimePoint asked)
 {
     if (!answer || answer.value().head.status != 200) {
         Log::info("peer_state_missed",
@@ -578,7 +579,7 @@
     }
     const Result<PeerState> state = PeerState::decode(body.substr(end + 1));
     if (state)
-        takeState(state.value(), asked);
+        applyState(state.value(), asked);
     else
         Log::warning("peer_state_malformed", {{"router", name}, {"detail", state.error().detail}});
 }
--- a/src/Net/FleetTask.h
+++ b/src/Net/FleetTask.h
@@ -40,13 +40,13 @@
         std::function<Duration()> storeUnansweredFor; ///< \sa RouterHeartbeat::storeUnansweredFor
         std::function<ReplicaStatusUpdate()> ownStatusUpdate;
         std::function<std::vector<CrashUpdate>()>
-                takeCrashNews; ///< \sa RequestQuarantine::takeUpdates
+                takeCrashUpdates; ///< \sa RequestQuarantine::takeUpdates
         /// \sa RequestQuarantine::takeFirstCrashes
         std::function<std::vector<CrashUpdate>()> takeFirstCrashes;
-        std::function<void(const RouterHeartbeat &)> onBeat;
+        std::function<void(const RouterHeartbeat &)> onHeartbeat;
         /// Called for each heartbeat that is received before the key is known. It can't be
         /// verified, so it is only a hint.
-        std::function<void(const RouterHeartbeat &)> onUnverifiedBeat =
+        std::function<void(const RouterHeartbeat &)> onUnverifiedHeartbeat =
                 [](const RouterHeartbeat &) {};
         /// Called with a configuration that a peer read from the store, and the time at which that
         /// read started.
@@ -75,8 +75,8 @@
 
     /// \brief Announces immediately to the routers at \a addresses that prompt discovery of
     /// \a replica is done and that it caches \a parts.
-    void tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
-                    std::span<const std::string> addresses);
+    void announceDiscovered(const std::string &replica, std::span<const std::uint64_t> parts,
+                            std::span<const std::string> addresses);
 
     /// \returns the start time of this process, as its heartbeats carry it.
     std::uint64_t incarnation() const;
@@ -88,14 +88,14 @@
     void fetchFromPeer();
 
     /// \brief Sends a heartbeat to all routers immediately, after a change of local state.
-    void tellAll();
+    void announceToAll();
 
     /// \brief Announces immediately to several routers that this router has ejected a replica.
-    void tellEjected();
+    void announceEjection();
 
     /// \brief Announces to several routers, within milliseconds, which requests were in progress on
     /// crashed replicas.
-    void tellCrashes();
+    void announceCrashes();
 
     /// \returns whether this router is one of those that read the store on behalf of the fleet.
     bool isReader() const;
--- a/src/Net/EngineHttp.h
+++ b/src/Net/HttpEngineClient.h
@@ -16,7 +16,7 @@
 /// \brief Calls the engines' control interface and the weight store over HTTP.
 ///
 /// docs/INTERFACES.md describes their format.
-class EngineHttp final : public EngineClient
+class HttpEngineClient final : public EngineClient
 {
 public:
     struct Options
@@ -29,7 +29,7 @@
         std::function<void(std::size_t)> sent = [](std::size_t) {};
     };
 
-    explicit EngineHttp(Options options);
+    explicit HttpEngineClient(Options options);
 
     void readLoad(std::string address, Callback<EngineLoad> done) override;
     void readCacheEvents(std::string address, std::uint64_t after,
--- a/src/Net/OperatorPages.cpp
+++ b/src/Net/OperatorPages.cpp
@@ -24,10 +24,10 @@
 /// Number of other routers that must hold a revision before it is reported as accepted. Together
 /// with the router that received the change, the revision then survives a failure of two VMs during
 /// an outage of the store.
-constexpr std::size_t SpreadWanted = 2;
+constexpr std::size_t RequiredHolders = 2;
 
 /// How long the answer is delayed for that. Afterwards it reports the change as committed only.
-constexpr Duration SpreadWait = std::chrono::seconds(2);
+constexpr Duration PropagationTimeout = std::chrono::seconds(2);
 
 constexpr std::size_t HistoryPage = 100;
 
@@ -209,9 +209,9 @@
         return;
     }
     const std::uint64_t revision = result.value();
-    const std::size_t wanted = std::min(SpreadWanted, m_options.membership.liveCount());
+    const std::size_t wanted = std::min(RequiredHolders, m_options.membership.liveCount());
     m_options.propagator.awaitHolders(
-            revision, wanted, m_options.clock.now() + SpreadWait,
+            revision, wanted, m_options.clock.now() + PropagationTimeout,
             [exchange, revision, wanted](std::size_t holders) {
                 exchange->respond(
                         200, JsonType,
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -25,18 +25,18 @@
 /// grows with the number of routers. Without the limit 890 routers would use 1,780 of the 2,000
 /// reads per second that the table service allows, all at the same time after an outage. Between
 /// polls, changes are received from peers.
-constexpr double FleetPolls = 50;
+constexpr double FleetPollsPerSecond = 50;
 
 /// Interval of updates of this router's own load and of the check whether it is isolated.
-constexpr Duration SelfCheck = std::chrono::milliseconds(500);
+constexpr Duration SelfCheckInterval = std::chrono::milliseconds(500);
 
 /// A router that has received nothing from the store or any other router for this long is isolated:
 /// it may have missed an accepted change, and reports that. Longer than a restart of the store and
 /// than several probes.
-constexpr Duration IsolationLimit = std::chrono::seconds(10);
+constexpr Duration IsolationTimeout = std::chrono::seconds(10);
 
 /// A reported load that is older than this is ignored.
-constexpr Duration LoadLife = std::chrono::seconds(5);
+constexpr Duration LoadLifetime = std::chrono::seconds(5);
 
 /// Interval of checks whether a draining process has finished its requests.
 constexpr Duration DrainPoll = std::chrono::milliseconds(50);
@@ -76,7 +76,7 @@
                    .governor = peers.governor(),
                    .random = systemRandom(),
                    .weightStore = settings->platform.weightStore,
-                   .secure = tls.context().checksUpstreams()}),
+                   .secure = tls.context().verifiesUpstreams()}),
           gateway({.loop = loop,
                    .client = client,
                    .metrics = metrics,
@@ -95,7 +95,7 @@
           server(loop,
                  {.address = settings->callerAddress,
                   .limits = settings->limits,
-                  .onTooMany = [this] { metrics.refused(Reason::TooManyConnections); },
+                  .onTooManyConnections = [this] { metrics.refused(Reason::TooManyConnections); },
                   .tls = &tls.context()},
                  [this](const HttpExchangePtr &it) { gateway.handle(it); }),
           poll(loop, [this] { readPlatform(); }), selfCheck(loop, [this] { checkSelf(); }),
@@ -112,7 +112,7 @@
                 peers.membership().setVms(list.value());
         });
         const double n = static_cast<double>(peers.membership().liveCount() + 1);
-        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPolls));
+        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPollsPerSecond));
         poll.start(scaled(pause, 0.5 + uniform(random)));
     }
 
@@ -125,7 +125,7 @@
             // suspicion.
             if (it.state != MemberState::Alive && it.state != MemberState::Leaving)
                 continue;
-            const bool isFresh = it.loadReceivedWithin(LoadLife, loop.now());
+            const bool isFresh = it.loadReceivedWithin(LoadLifetime, loop.now());
             routers.push_back({.name = it.name,
                                .callerAddress = it.callerAddress,
                                .peerAddress = it.peerAddress,
@@ -140,9 +140,9 @@
     {
         peers.membership().setLoad(static_cast<std::uint32_t>(gateway.inProgress()));
         updateDirectory();
-        const TimePoint heard =
+        const TimePoint lastContactAt =
                 std::max({started, config.lastConfirmed(), peers.membership().lastReceivedAt()});
-        const bool isolated = loop.now() - heard > IsolationLimit;
+        const bool isolated = loop.now() - lastContactAt > IsolationTimeout;
         if (isolated != directory.isIsolated())
             Log::warning(isolated ? "isolated" : "connected_again",
                          {{"revision", config.digest().revision}});
@@ -230,7 +230,7 @@
     m_d->loop.onSignal(SIGINT, [this] { m_d->drain(); });
     m_d->engines.start();
     m_d->readPlatform();
-    m_d->selfCheck.startRepeating(SelfCheck);
+    m_d->selfCheck.startRepeating(SelfCheckInterval);
     Log::info("started", {{"caller_address", m_d->settings->callerAddress}});
     m_d->loop.run();
     return 0;
--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -15,20 +15,20 @@
 /// How long one call waits for a change of the configuration, as a fraction of the time in which
 /// changes have to be active. When a call returns, the freshness proof is as old as the call;
 /// before the next call returns, it is twice as old.
-constexpr double WaitPart = 0.2;
+constexpr double WatchTimeoutFraction = 0.2;
 
 /// Age of the freshness proof, as a fraction of the same time, at which any router reads the store
 /// itself: by then several answers of readers are missing. The rest of the time is left for the
 /// read. The time is thus kept regardless of the readers.
-constexpr double ConfigOverduePart = 0.8;
+constexpr double ConfigOverdueFraction = 0.8;
 
 /// Interval between two reads of the replicas, as a fraction of the time in which a draining
 /// replica must be known. The asks of the other routers take another 0.3 of it.
-constexpr double ReplicasPart = 0.25;
+constexpr double ReplicasReadFraction = 0.25;
 
 /// Age of the replica list, as a fraction of the time in which a draining replica must be known, at
 /// which any router reads the store itself. The rest of the time is left for the read.
-constexpr double ReplicasOverduePart = 0.85;
+constexpr double ReplicasOverdueFraction = 0.85;
 constexpr Duration CheckInterval = 200ms;
 
 } // namespace
@@ -51,7 +51,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.config.proofAge()
-                    > scaled(m_options.settings.configApplyLimit, ConfigOverduePart),
+                    > scaled(m_options.settings.configApplyTimeout, ConfigOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -59,7 +59,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.replicas.age()
-                    > scaled(m_options.settings.replicaDrainLimit, ReplicasOverduePart),
+                    > scaled(m_options.settings.replicaDrainTimeout, ReplicasOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -85,11 +85,12 @@
     if (m_storeVersion == 0)
         m_options.store.readConfig(done);
     else
-        m_options.store.watchConfig(m_storeVersion,
-                                    m_options.isReader()
-                                            ? scaled(m_options.settings.configApplyLimit, WaitPart)
-                                            : Duration::zero(),
-                                    done);
+        m_options.store.watchConfig(
+                m_storeVersion,
+                m_options.isReader()
+                        ? scaled(m_options.settings.configApplyTimeout, WatchTimeoutFraction)
+                        : Duration::zero(),
+                done);
 }
 
 void StoreWatch::configRead(const Result<ConfigRead> &read, TimePoint began)
@@ -104,7 +105,7 @@
         return watchConfig();
     }
     // Evacuations first, because the freshness proof of the configuration covers them too.
-    takeEvacuations(it);
+    applyEvacuations(it);
     if (it.config)
         m_options.config.accept(it.config, began);
     else
@@ -116,9 +117,9 @@
         watchConfig();
 }
 
-void StoreWatch::takeEvacuations(const ConfigRead &read)
+void StoreWatch::applyEvacuations(const ConfigRead &read)
 {
-    if (!read.isWhole)
+    if (!read.isComplete)
         return m_options.evacuated.change(read.evacuations, read.storeVersion);
     EvacuatedDomains::State state{.storeVersion = read.storeVersion};
     for (const DomainEvacuation &it : read.evacuations)
@@ -149,8 +150,9 @@
     if (!m_options.isReader())
         return;
     // Jitter keeps routers that started at the same time from reading at the same time.
-    const double spread = 0.9 + 0.2 * uniform(m_options.random);
-    m_replicasTimer.start(scaled(m_options.settings.replicaDrainLimit, ReplicasPart * spread));
+    const double jitter = 0.9 + 0.2 * uniform(m_options.random);
+    m_replicasTimer.start(
+            scaled(m_options.settings.replicaDrainTimeout, ReplicasReadFraction * jitter));
 }
 
 void StoreWatch::noteResult(StoreReadPlan &plan, const char *what, const Error *error)
@@ -172,7 +174,7 @@
         Log::warning("store_lost", {{"reading", what}, {"detail", error->detail}});
 }
 
-void StoreWatch::takeConfigText(const std::string &text, TimePoint readStartedAt)
+void StoreWatch::applyConfigText(const std::string &text, TimePoint readStartedAt)
 {
     const Result<RouteConfigPtr> config = m_options.store.decodeConfig(text);
     if (config)
--- a/src/Net/StoreWatch.h
+++ b/src/Net/StoreWatch.h
@@ -50,7 +50,7 @@
     Duration unansweredFor() const { return m_configPlan.unansweredFor(); }
 
     /// \brief Applies a configuration that a peer read.
-    void takeConfigText(const std::string &text, TimePoint readStartedAt);
+    void applyConfigText(const std::string &text, TimePoint readStartedAt);
 
     /// \brief Notes that the store answered another router, or another call of this one, at \a at.
     void answeredElsewhere(TimePoint at);
@@ -58,7 +58,7 @@
 private:
     void watchConfig();
     void configRead(const Result<ConfigRead> &read, TimePoint began);
-    void takeEvacuations(const ConfigRead &read);
+    void applyEvacuations(const ConfigRead &read);
     void readReplicas();
     void replicasRead(const Result<ReplicaSnapshot> &read, TimePoint began);
     void check();
