--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -36,15 +36,15 @@
 /// which no heartbeat was received, so it is read rarely: a call costs as much as a small request.
 constexpr Duration RegistrationInterval = 10s;
 
-/// Shortest interval between reads of the whole fleet; the interval of one router is this times the
-/// number of routers.
+/// Shortest interval between reads by all routers together; the interval of one router is this
+/// times the number of routers.
 constexpr Duration RegistrationIntervalPerRouter = 500ms;
 
-/// Fraction of the stop limit in which a draining process still accepts requests, from callers that
-/// use an outdated address. Long streams need the rest of the time to finish.
+/// Fraction of the stop timeout in which a draining process still accepts requests, from callers
+/// that use an outdated address. Long streams need the rest of the time to finish.
 constexpr double AcceptFraction = 0.35;
 
-/// Part of the stop limit that is reserved for the shutdown of the process itself.
+/// Part of the stop timeout that is reserved for the shutdown of the process itself.
 constexpr Duration StopMargin = 300ms;
 
 constexpr Duration DrainPoll = 50ms;
