--- a/src/Base/Base.h
+++ b/src/Base/Base.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Module Base: time, errors, verdicts, logs, metrics, hashes, settings and inventory.
+/// \brief Module Base: time, errors, verdicts, logging, metrics, hashes, settings and inventory.
 
 #include "Base/Clock.h" // IWYU pragma: export
 #include "Base/Error.h" // IWYU pragma: export
--- a/src/Base/Clock.h
+++ b/src/Base/Clock.h
@@ -8,7 +8,8 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// \brief The only source of time: the event loop in production, a ManualClock in tests.
+/// \brief Interface to the current time. The event loop implements it in production, ManualClock in
+/// tests.
 ///
 /// \sa ManualClock, EventLoop
 class Clock
@@ -16,12 +17,11 @@
 public:
     virtual ~Clock() = default;
 
-    /// \returns monotonic time, which also counts while the VM is suspended; differences are
-    /// nanoseconds.
+    /// \returns monotonic time in nanoseconds. It continues to advance while the VM is suspended.
     virtual TimePoint now() const = 0;
 
-    /// \returns calendar time in milliseconds; for people and for the platform only, since it may
-    /// jump.
+    /// \returns calendar time in milliseconds. It may jump, so it is used only in output for people
+    /// and in the platform's protocols.
     virtual WallTime wallNow() const = 0;
 };
 
--- a/src/Base/Compression.cpp
+++ b/src/Base/Compression.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-/// Output is taken in pieces of so many bytes, so that a short input can't claim much memory.
+/// Size of the output buffer. Decompressing in chunks of this size stops at the size limit, so that
+/// a short input cannot allocate much memory.
 constexpr std::size_t PieceSize = 64 * 1024;
 
-/// Of short texts: a raw stream, without head and checksum, with a window of 4 KB.
+/// For short texts. A negative value selects a raw stream, without header and checksum; 12 bits are
+/// a window of 4 KB.
 constexpr int ShortWindowBits = -12;
 constexpr int ShortMemoryLevel = 5;
 
@@ -27,7 +29,7 @@
     return {.reason = Reason::MalformedRequest, .detail = std::move(detail)};
 }
 
-/// A stream of zlib that is closed with its scope.
+/// A zlib stream that is closed at the end of its scope.
 struct Inflater
 {
     explicit Inflater(int windowBits = MAX_WBITS)
@@ -59,7 +61,7 @@
 
 Result<std::string> inflateAll(Inflater &it, std::string_view bytes, std::size_t maxSize)
 {
-    // zlib reads through a pointer to non-const and writes nothing there.
+    // next_in is a pointer to non-const, but zlib does not write to its input.
     it.stream.next_in = const_cast<Bytef *>(bytesOf(bytes));
     it.stream.avail_in = static_cast<uInt>(bytes.size());
     std::string out;
--- a/src/Base/EntrySettings.h
+++ b/src/Base/EntrySettings.h
@@ -11,65 +11,66 @@
 
 namespace catkinloft {
 
-/// \brief What the process of an entry VM learns from its settings file where configuration and
-/// replicas are kept in the platform's store.
+/// \brief Settings file of a router on an entry VM whose configuration and replicas are in the
+/// platform's store.
 struct EntrySettings
 {
-    std::string name = {}; ///< Unique among the routers alive at one time.
+    std::string name = {}; ///< Unique among the running routers.
     std::string failureDomain = {};
     std::string callerAddress = {}; ///< `ip:port` that callers connect to.
-    std::string readinessAddress =
-            {}; ///< `ip:port` at which the platform asks whether it is ready.
-    std::string directoryAddress = {}; ///< `ip:port` at which callers ask for addresses.
-    std::string peerAddress = {}; ///< `ip:port` for routers, TCP and UDP.
-    std::string metricsAddress = {}; ///< `ip:port` of counters and histograms; empty: not served.
+    std::string readinessAddress = {}; ///< `ip:port` of the platform's readiness checks.
+    std::string directoryAddress = {}; ///< `ip:port` at which callers look up router addresses.
+    std::string peerAddress = {}; ///< `ip:port` for other routers, TCP and UDP.
+    std::string metricsAddress = {}; ///< `ip:port` of the metrics; empty: they are not served.
     std::string storeAddress = {}; ///< `ip:port` of the platform's store.
 
-    double processorShare = 1; ///< Cores that this VM has; callers are shared out by it.
+    double processorShare = 1; ///< Cores of this VM. Callers are distributed in proportion to it.
 
-    /// Without a proof this young that no newer configuration exists, no key is honoured: one that
-    /// was taken away may be used no longer than that.
+    /// Longest age of the proof that the active configuration is the newest. With an older proof
+    /// no API key is accepted, so a revoked key cannot be used for longer than this.
     Duration keyProofLimit = std::chrono::seconds(5);
     bool requiresKeyProof = true;
-    Duration configApplyLimit = std::chrono::seconds(2); ///< Within it a change is in force.
+    Duration configApplyLimit = std::chrono::seconds(2); ///< Longest time to apply a change.
 
-    double repeatShare = 0.2; ///< Repeats a request, over all routers.
-    double repeatSlack = 0; ///< Repeats in a window besides, over all routers.
+    double repeatShare = 0.2; ///< Retries allowed per request, over all routers.
+    double repeatSlack = 0; ///< Additional retries per window, over all routers.
     Duration repeatWindow = std::chrono::seconds(10);
 
-    Duration addressLifetime = std::chrono::seconds(2); ///< For which callers keep an address.
+    Duration addressLifetime = std::chrono::seconds(2); ///< How long callers cache an address.
     Duration stopLimit = std::chrono::seconds(8); ///< From SIGTERM until the process is killed.
-    /// Within it a replica that says that it leaves must get no request any more.
+    /// Longest time for which a replica may still get requests after it reported that it leaves.
     Duration replicaDrainLimit = std::chrono::seconds(2);
-    /// Requests that a cold replica may get in one second from all routers together: this many
-    /// times what its service states, and the slack.
+    /// Rate limit of a cold replica in requests per second, over all routers: this factor times the
+    /// rate that its service states, plus the slack.
     double coldFactor = 1;
     double coldSlack = 0;
     std::map<std::string, std::string> regions = {}; ///< By failure domain.
-    Duration replicaReturnTime = std::chrono::milliseconds(2200); ///< \sa ReplicaRegistry
+    /// Time that replicas have to register again after a store outage. \sa ReplicaRegistry
+    Duration replicaReturnTime = std::chrono::milliseconds(2200);
 
     Mechanisms mechanisms = {};
 
     std::size_t maxHeaderBytes = 64 * 1024;
     std::size_t maxBodyBytes = 16 * 1024 * 1024;
-    std::size_t maxStreamBuffer = 256 * 1024; ///< Bytes held for one slow caller.
-    int maxConnections = 3000; ///< Of callers; the rest of the descriptors are for replicas.
+    std::size_t maxStreamBuffer = 256 * 1024; ///< Bytes buffered for one slow caller.
+    /// Connections of callers. The remaining file descriptors are for connections to replicas.
+    int maxConnections = 3000;
 
-    /// \returns the region of \a domain; empty where none is known.
+    /// \returns the region of \a domain, or an empty string if it is not configured.
     std::string regionOf(const std::string &domain) const;
 
-    /// \brief Which settings a new file changes, by their names there.
+    /// \brief Names of the settings that differ in a new settings file.
     struct Adjusted
     {
-        std::vector<std::string> changed = {}; ///< In force now.
-        std::vector<std::string> needsRestart = {}; ///< Not taken over.
+        std::vector<std::string> changed = {}; ///< Active now.
+        std::vector<std::string> needsRestart = {}; ///< Not applied.
     };
 
-    /// \brief Takes over from \a next what can change while a process runs.
+    /// \brief Applies those settings of \a next that may change while the process runs.
     Adjusted adjust(const EntrySettings &next);
 
-    /// \brief Parses and checks \a text, reporting every mistake.
-    /// \returns nothing where there was any problem.
+    /// \brief Parses and validates \a text and adds every error to \a problems.
+    /// \returns null if there was an error.
     static std::shared_ptr<const EntrySettings>
     parse(const std::string &text, const std::string &file, YamlProblems &problems);
 };
--- a/src/Base/FleetStore.h
+++ b/src/Base/FleetStore.h
@@ -12,28 +12,29 @@
 
 namespace catkinloft {
 
-/// \brief Whether the operator wants nothing sent to the replicas of a failure domain.
+/// \brief An operator's request to send nothing to the replicas of a failure domain, or its end.
 struct DomainEvacuation
 {
     std::string domain;
     bool isEvacuated = true;
 };
 
-/// \brief What one read of what the operator wrote brought.
+/// \brief Result of one read of the operators' data: the configuration and the evacuations.
 struct ConfigRead
 {
-    std::uint64_t storeVersion = 0; ///< To go on watching from.
-    RouteConfigPtr config = {}; ///< Null where nothing changed.
-    bool historyLost = false; ///< The changes since are not to be had: read anew.
-    std::vector<DomainEvacuation> evacuations =
-            {}; ///< All, or where \a isWhole is not set, changes.
-    bool isWhole = false; ///< Nothing that stands in the store is missing.
+    std::uint64_t storeVersion = 0; ///< Version from which to continue to watch.
+    RouteConfigPtr config = {}; ///< Null if it did not change.
+    bool historyLost = false; ///< The store dropped the changes since; a full read is needed.
+    /// All evacuations if \a isWhole is set, else only the changed ones.
+    std::vector<DomainEvacuation> evacuations = {};
+    bool isWhole = false; ///< The result contains everything that is in the store.
 };
 
-/// \brief The platform's store as far as it holds what operators and replicas wrote.
+/// \brief The part of the platform's store that operators and replicas write to.
 ///
-/// Every call is asynchronous and calls back exactly once, on the thread of the event loop. Answers
-/// are linearizable: one holds what was acknowledged before its call began.
+/// Every call is asynchronous and invokes its callback exactly once, on the event loop's thread.
+/// Answers are linearizable: an answer contains every write that was acknowledged before its call
+/// began.
 class FleetStore
 {
 public:
@@ -45,7 +46,7 @@
     /// \brief Reads the newest configuration and all evacuations.
     virtual void readConfig(Callback<ConfigRead> done) = 0;
 
-    /// \brief Waits up to \a wait for a configuration or an evacuation written after
+    /// \brief Waits up to \a wait for a configuration or an evacuation that was written after
     /// \a storeVersion.
     virtual void watchConfig(std::uint64_t storeVersion, Duration wait,
                              Callback<ConfigRead> done) = 0;
@@ -53,10 +54,10 @@
     /// \brief Reads all registered replicas.
     virtual void readReplicas(Callback<ReplicaSnapshot> done) = 0;
 
-    /// \brief Gives up on open connections, because one of them went silent.
+    /// \brief Closes all open connections. Called when a connection no longer answers.
     virtual void dropConnections() = 0;
 
-    /// \brief Decodes what another router read, as RouteConfig::sourceText.
+    /// \brief Decodes a configuration that another router sent as RouteConfig::sourceText.
     virtual Result<RouteConfigPtr> decodeConfig(std::string_view sourceText) const = 0;
 };
 
--- a/src/Base/Hash.cpp
+++ b/src/Base/Hash.cpp
@@ -17,8 +17,8 @@
 
 std::uint64_t hashCombine(std::uint64_t a, std::uint64_t b)
 {
-    // Finalizer of SplitMix64: every input bit reaches every output bit, which rendezvous hashing
-    // needs to stay even.
+    // The finalizer of SplitMix64: every input bit affects every output bit. Rendezvous hashing
+    // needs that for an even distribution.
     std::uint64_t x = a * 0x9E3779B97F4A7C15ULL + b;
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
     x = (x ^ (x >> 27)) * 0x94D049BB133111EBULL;
@@ -29,7 +29,8 @@
 {
     std::array<unsigned char, SHA256_DIGEST_LENGTH> digest{};
     SHA256(reinterpret_cast<const unsigned char *>(text.data()), text.size(), digest.data());
-    // By table: this runs for every request, and a formatter call a byte cost a tenth of it.
+    // Uses a table, since this runs for every request and one fmt::format() call per byte took a
+    // tenth of the time of a request.
     constexpr std::string_view Digits = "0123456789abcdef";
     std::string out;
     out.reserve(2 * digest.size());
--- a/src/Base/Hash.h
+++ b/src/Base/Hash.h
@@ -7,11 +7,11 @@
 
 namespace catkinloft {
 
-/// \returns a 64-bit hash of \a text that is the same on every machine and release.
-/// Not for secrets: use sha256Hex() or hmacSha256() there.
+/// \returns a 64-bit hash of \a text that is the same on every machine and in every release. It is
+/// not cryptographic: for secrets use sha256Hex() or hmacSha256().
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
-/// \returns \a a and \a b mixed into one hash; the order matters.
+/// \returns a hash of the pair (\a a, \a b); the order matters.
 std::uint64_t hashCombine(std::uint64_t a, std::uint64_t b);
 
 /// \returns the SHA-256 of \a text as 64 lower-case hexadecimal digits.
@@ -26,7 +26,7 @@
 /// \returns \a bytes in the URL-safe Base64 alphabet without padding.
 std::string base64UrlEncode(std::string_view bytes);
 
-/// \returns the bytes that \a text encodes, or an empty string where it is not URL-safe Base64.
+/// \returns the bytes that \a text encodes, or an empty string if it is not URL-safe Base64.
 std::string base64UrlDecode(std::string_view text);
 
 } // namespace catkinloft
--- a/src/Base/Inventory.h
+++ b/src/Base/Inventory.h
@@ -12,7 +12,7 @@
 
 namespace catkinloft {
 
-/// \brief A failure domain and the region that it lies in.
+/// \brief A failure domain and its region.
 struct Place
 {
     std::string name = {}; ///< Name of the failure domain.
@@ -21,7 +21,7 @@
     bool operator==(const Place &) const = default;
 };
 
-/// \brief A model engine, one replica of one model.
+/// \brief An engine: a server of one model.
 struct Engine
 {
     std::string name = {};
@@ -29,11 +29,11 @@
     std::string address = {}; ///< `ip:port`.
     std::string failureDomain = {};
     double weight = 1.0; ///< Capacity relative to the other engines of the model.
-    int slots = 32; ///< Requests that it batches at a time.
-    bool checksFencing = false; ///< Whether it refuses an order with an old fencing number.
-    bool leaving = false; ///< A planned leave: it gets no new work.
-    std::vector<std::string> adapters = {}; ///< Adapters that it is meant to have loaded.
-    std::string version = {}; ///< Model version that it is meant to run; empty: any.
+    int slots = 32; ///< Requests that it processes in one batch.
+    bool checksFencing = false; ///< Whether it refuses orders with an outdated fencing number.
+    bool leaving = false; ///< It is about to be shut down and gets no new requests.
+    std::vector<std::string> adapters = {}; ///< Adapters that it should have loaded.
+    std::string version = {}; ///< Model version that it should run; empty: any.
     std::string role = "serve"; ///< `serve` or `standby`.
 
     bool operator==(const Engine &) const = default;
@@ -49,32 +49,32 @@
     bool operator==(const ServiceReplica &) const = default;
 };
 
-/// \brief A plain service and its contract.
+/// \brief A plain service and its guarantees.
 struct Service
 {
     std::string name = {};
     std::vector<ServiceReplica> replicas = {};
-    std::vector<std::string> idempotentMethods = {}; ///< Methods that may be repeated.
-    std::vector<int> notRunStatuses = {}; ///< Statuses by which it promises that it did nothing.
-    Duration timeout = std::chrono::seconds(30); ///< Longest wait for a whole answer.
-    int concurrency = 64; ///< Calls in progress that one replica takes.
+    std::vector<std::string> idempotentMethods = {}; ///< HTTP methods that are safe to retry.
+    std::vector<int> notRunStatuses = {}; ///< Statuses that guarantee that nothing was executed.
+    Duration timeout = std::chrono::seconds(30); ///< Longest wait for the complete answer.
+    int concurrency = 64; ///< Concurrent calls that one replica accepts.
 
     bool operator==(const Service &) const = default;
 };
 
-/// \brief A customer of the system.
+/// \brief A customer, identified by an API key.
 struct Workspace
 {
     std::string name = {};
     std::string keySha256 = {}; ///< SHA-256 of its API key, 64 hexadecimal digits.
-    double weight = 1.0; ///< Share of a saturated engine, relative to the others.
-    bool isProtected = false; ///< Served before the rest when work has to be refused.
-    int maxInFlight = 0; ///< Requests in progress on a router; 0: no limit of its own.
+    double weight = 1.0; ///< Share of a saturated engine, relative to other workspaces.
+    bool isProtected = false; ///< Served before the others when requests have to be refused.
+    int maxInFlight = 0; ///< Requests in progress on one router; 0: not limited.
 
     bool operator==(const Workspace &) const = default;
 };
 
-/// \brief Who may change the configuration.
+/// \brief A person who may change the configuration.
 struct Operator
 {
     std::string name = {};
@@ -83,29 +83,29 @@
     bool operator==(const Operator &) const = default;
 };
 
-/// \brief What operators decide on top of what they own.
+/// \brief Limits and timeouts that operators choose.
 struct Rules
 {
-    double loadBound = 1.25; ///< Most work of an engine, as a multiple of the mean.
+    double loadBound = 1.25; ///< Highest load of an engine, as a multiple of the mean.
     Duration queueSojourn = std::chrono::seconds(2); ///< Longest wait in a queue.
-    int queueLength = 64; ///< Longest queue of one workspace on one router.
+    int queueLength = 64; ///< Queued requests of one workspace on one router.
     double retryShare = 0.1; ///< Retries as a share of first attempts.
-    Duration progressTimeout = std::chrono::seconds(3); ///< Longest silence of a stream.
-    Duration requestTimeout = std::chrono::seconds(120); ///< Deadline where a caller names none.
-    Duration addressLifetime = std::chrono::seconds(20); ///< How long an address answer is kept.
-    double maxEjectedShare = 0.34; ///< Most engines of a pool that may be ejected at once.
+    Duration progressTimeout = std::chrono::seconds(3); ///< Longest pause of a stream.
+    Duration requestTimeout = std::chrono::seconds(120); ///< Used if a caller sends no deadline.
+    Duration addressLifetime = std::chrono::seconds(20); ///< How long callers cache an address.
+    double maxEjectedShare = 0.34; ///< Share of a pool that may be ejected at the same time.
 
     bool operator==(const Rules &) const = default;
 };
 
-/// \brief What the operators own and the rules on top, as one checked value.
+/// \brief A validated inventory: the operators' engines, services, workspaces and rules.
 ///
-/// Immutable once parsed; every user holds it by `InventoryPtr`, so that a request sees one
-/// revision from its start to its end.
+/// It is immutable after parsing and shared by `InventoryPtr`, so that a request uses the same
+/// revision from start to end.
 class Inventory
 {
 public:
-    std::uint64_t revision = 0; ///< Rises by one with every accepted change; 0: none yet.
+    std::uint64_t revision = 0; ///< Incremented by every accepted change; 0: none yet.
     std::vector<Place> places;
     std::vector<Engine> engines;
     std::vector<Service> services;
@@ -113,9 +113,9 @@
     std::vector<Operator> operators;
     Rules rules;
 
-    /// \brief Parses and checks \a text, reporting every mistake.
-    /// \param file name used in messages.
-    /// \returns nothing where there was any problem.
+    /// \brief Parses and validates \a text and adds every error to \a problems.
+    /// \param file file name for error messages.
+    /// \returns null if there was an error.
     static std::shared_ptr<const Inventory> parse(const std::string &text, const std::string &file,
                                                   std::uint64_t revision, YamlProblems &problems);
 
@@ -125,10 +125,10 @@
     const Workspace *workspace(std::string_view name) const;
     const Service *service(std::string_view name) const;
 
-    /// \returns positions in `engines` of the replicas of \a model; empty for an unknown one.
+    /// \returns indexes into `engines` of the engines of \a model; empty for an unknown model.
     const std::vector<std::size_t> &enginesOf(std::string_view model) const;
 
-    /// \brief Makes the look-ups above work; to be called once after the lists were filled.
+    /// \brief Builds the indexes for the lookups above. Call it once, after filling the lists.
     void buildIndexes();
 
 private:
--- a/src/Base/InventoryParser.cpp
+++ b/src/Base/InventoryParser.cpp
@@ -24,7 +24,8 @@
     return out;
 }
 
-/// Appends to \a text the entries that \a known does not have.
+/// Appends to \a text the entries of \a items that are not in \a known.
+/// \returns how many it appended.
 std::size_t appendNew(std::string &text, std::string_view key,
                       const std::vector<std::string_view> &items, const Positions &known)
 {
@@ -39,8 +40,8 @@
     return n;
 }
 
-/// Puts the entries of \a items together from those known before and those read anew, which come
-/// in the same order.
+/// \returns the entries of \a items, taken from \a before where they are in \a known, and otherwise
+/// from \a fresh, which has the same order.
 template<typename T>
 std::vector<T> merged(const std::vector<std::string_view> &items, const Positions &known,
                       const std::vector<T> &before, std::vector<T> &&fresh)
@@ -82,7 +83,7 @@
 
 struct InventoryParser::Private
 {
-    std::unique_ptr<const std::string> text; ///< Of `last`; the outline looks into it.
+    std::unique_ptr<const std::string> text; ///< Text of `last`; the outline refers to it.
     InventoryOutline outline;
     Positions engines;
     Positions workspaces;
@@ -98,7 +99,7 @@
 InventoryPtr InventoryParser::Private::parseChanges(const InventoryOutline &next,
                                                     const std::string &file, std::uint64_t revision)
 {
-    // Known engines were checked against these places.
+    // The failure domains of known engines were validated against these places.
     if (!last || next.places != outline.places)
         return nullptr;
     std::string reduced;
@@ -146,7 +147,7 @@
 InventoryPtr InventoryParser::parse(const std::string &text, const std::string &file,
                                     std::uint64_t revision, YamlProblems &problems)
 {
-    // Outlined in the copy that is kept, so that it is done once.
+    // The outline refers to the copy that is stored, so that it does not have to be computed again.
     auto kept = std::make_unique<const std::string>(text);
     std::optional<InventoryOutline> next = InventoryOutline::of(*kept);
     InventoryPtr out = next ? m_d->parseChanges(*next, file, revision) : nullptr;
--- a/src/Base/InventoryParser.h
+++ b/src/Base/InventoryParser.h
@@ -7,13 +7,14 @@
 
 namespace catkinloft {
 
-/// \brief Parses one revision of an inventory after the other, reading only the entries that
-/// changed.
+/// \brief Parses successive revisions of an inventory incrementally: only changed entries are
+/// parsed.
 ///
-/// Load: 25,000 changes a day to an inventory of 10,000 engines and 3,600 workspaces, on the thread
-/// that also relays tokens. Harm prevented: the whole YAML parser takes about half a second of
-/// processor time for it, which would stall every stream and cost over a tenth of a core. Whatever
-/// the quick way can't vouch for goes through Inventory::parse(), which also words the mistakes.
+/// Handles 25,000 changes a day to an inventory of 10,000 engines and 3,600 workspaces, on the
+/// thread that also relays tokens. A full YAML parse of that inventory takes about half a second of
+/// processor time, which would stall every stream and use more than a tenth of a core. Text that
+/// the incremental parser cannot be sure about is passed to Inventory::parse(), which also creates
+/// the error messages.
 class InventoryParser
 {
 public:
@@ -26,7 +27,7 @@
     InventoryPtr parse(const std::string &text, const std::string &file, std::uint64_t revision,
                        YamlProblems &problems);
 
-    /// \returns entries that the last parse() read anew; for tests and metrics.
+    /// \returns the number of entries that the last parse() had to parse; for tests and metrics.
     std::size_t entriesRead() const;
 
 private:
--- a/src/Base/Json.cpp
+++ b/src/Base/Json.cpp
@@ -20,7 +20,7 @@
             && root.isObject())
             return root;
     } catch (const Json::Exception &) {
-        // Nested too deeply: rubbish like any other.
+        // Thrown if the text is nested too deeply. Treated like any other malformed text.
     }
     return Error{.reason = Reason::UpstreamBroken,
                  .verdict = Verdict::MayHaveRun,
--- a/src/Base/Json.h
+++ b/src/Base/Json.h
@@ -9,10 +9,10 @@
 
 namespace catkinloft {
 
-/// \returns \a value on one line.
+/// \returns \a value as JSON on one line.
 std::string printJson(const Json::Value &value);
 
-/// \returns the object in \a text; UpstreamBroken where it is none.
+/// \returns the JSON object in \a text, or the error UpstreamBroken if it is not one.
 Result<Json::Value> parseJsonObject(std::string_view text);
 
 } // namespace catkinloft
--- a/src/Base/Log.cpp
+++ b/src/Base/Log.cpp
@@ -53,7 +53,8 @@
 
 std::string timestamp()
 {
-    // A log line is for people, so it reads calendar time directly and never a paused clock.
+    // Log lines are read by people, so they have the calendar time, also while tests use a
+    // ManualClock.
     const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
             std::chrono::system_clock::now());
     const auto millis = now.time_since_epoch().count() % 1000;
--- a/src/Base/Log.h
+++ b/src/Base/Log.h
@@ -41,22 +41,23 @@
     }
 };
 
-/// \brief Writes one JSON object a line to standard error.
+/// \brief Writes log lines to standard error, each a JSON object.
 class Log
 {
 public:
     using Sink = std::function<void(LogLevel level, std::string_view line)>;
 
-    /// \param source name of this process, written as `source`.
+    /// \param source name of this process, for the field `source`.
     static void setSource(std::string source);
 
-    /// \param level lines below it are dropped.
+    /// \param level lines of a lower level are discarded.
     static void setLevel(LogLevel level);
 
-    /// \brief Replaces standard error; an empty sink restores it. For tests.
+    /// \brief Passes lines to \a sink instead of standard error. An empty sink restores the default.
+    /// For tests and LogWriter.
     static void setSink(Sink sink);
 
-    /// \param event short stable name of what happened, in snake_case.
+    /// \param event short name of the event in snake_case. Operators' tools match it.
     static void write(LogLevel level, std::string_view event, std::span<const LogField> fields);
 
     static void info(std::string_view event, std::initializer_list<LogField> fields = {})
@@ -73,7 +74,7 @@
     }
 };
 
-/// \returns \a text as a JSON string with quotes; bytes that are not UTF-8 become U+FFFD.
+/// \returns \a text as a quoted JSON string. Bytes that are not valid UTF-8 become U+FFFD.
 std::string jsonQuoted(std::string_view text);
 
 } // namespace catkinloft
--- a/src/Base/ManualClock.h
+++ b/src/Base/ManualClock.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft {
 
-/// \brief A paused clock which moves only when told to.
+/// \brief A clock for tests that changes only by advance().
 class ManualClock final : public Clock
 {
 public:
@@ -15,11 +15,11 @@
                 std::chrono::duration_cast<std::chrono::milliseconds>(m_now.time_since_epoch()));
     }
 
-    /// \param step how far to move; never negative.
+    /// \param step time to add; must not be negative.
     void advance(Duration step) { m_now += step; }
 
 private:
-    // Starts well after zero so that "never" and "an hour ago" stay representable.
+    // Far enough from zero that tests can subtract hours, and that zero can mean "never".
     TimePoint m_now = TimePoint(std::chrono::hours(24));
 };
 
--- a/src/Base/Mechanisms.h
+++ b/src/Base/Mechanisms.h
@@ -2,19 +2,19 @@
 
 namespace catkinloft {
 
-/// \brief Decisions that can be switched off one by one, to measure what each is worth on a load.
-/// All are on unless the settings say otherwise.
+/// \brief Switches that disable individual mechanisms, to measure the effect of each on a load. All
+/// are enabled by default.
 struct Mechanisms
 {
-    bool promptPlacement =
-            true; ///< Prompts go where they are kept, not where least is in progress.
-    bool promptCopies = true; ///< A prompt that has to move is copied.
-    bool promptNews = true; ///< Routers tell each other which prompts they sent where.
-    bool promptSurvey = true; ///< Engines are asked for kept prompts after a start.
-    bool promptPace = true; ///< Engines have longer to read long prompts.
-    bool toldEjections = true; ///< Replicas that several others have ejected get nothing.
-    bool loadShedding = true; ///< A share of the calls of a full service is refused at once.
-    bool requestQuarantine = true; ///< Requests that end their replicas are held back.
+    /// Sends a prompt to an engine that caches it, not to the one with the fewest requests.
+    bool promptPlacement = true;
+    bool promptCopies = true; ///< Copies a cached prompt when its requests move to another engine.
+    bool promptNews = true; ///< Announces to other routers which engine got a prompt.
+    bool promptSurvey = true; ///< Asks engines after the start which prompts they cache.
+    bool promptPace = true; ///< Extends the timeout of an engine that reads a long prompt.
+    bool toldEjections = true; ///< Sends nothing to replicas that several other routers ejected.
+    bool loadShedding = true; ///< Refuses a share of the calls of an overloaded service at once.
+    bool requestQuarantine = true; ///< Holds back requests that crash replicas.
 
     bool operator==(const Mechanisms &) const = default;
 };
--- a/src/Base/Metrics.h
+++ b/src/Base/Metrics.h
@@ -18,7 +18,7 @@
 
 namespace catkinloft {
 
-/// \brief Distribution of a value, kept in constant memory by the P-square estimator.
+/// \brief Distribution of a value, estimated in constant memory by the P-square algorithm.
 class Distribution
 {
 public:
@@ -29,7 +29,7 @@
     std::uint64_t count() const;
     double sum() const;
 
-    /// \returns the estimate for \a q, one of 0.5, 0.9, 0.99; 0 without samples.
+    /// \returns the estimated quantile \a q, which is 0.5, 0.9 or 0.99; 0 without samples.
     double quantile(double q) const;
 
 private:
@@ -47,7 +47,8 @@
 class Metrics
 {
 public:
-    /// \brief Adds \a n to a counter. \param labels already formatted, as `reason="queue_full"`.
+    /// \brief Adds \a n to a counter.
+    /// \param labels formatted labels, for example `reason="queue_full"`. \sa label()
     void count(std::string_view name, std::string_view labels = {}, std::uint64_t n = 1);
 
     void refused(Reason reason) { count("catkinloft_refusals_total", label("reason", reason)); }
@@ -58,10 +59,10 @@
 
     std::uint64_t counter(std::string_view name, std::string_view labels = {}) const;
 
-    /// \brief Runs before each print, so that gauges can be set from live state.
+    /// \brief Registers a function that runs before each print(), to update gauges.
     void addCollector(std::function<void(Metrics &)> collector);
 
-    /// \returns everything in the Prometheus text format.
+    /// \returns all metrics in the Prometheus text format.
     std::string print();
 
     static std::string label(std::string_view name, std::string_view value);
--- a/src/Base/ObjectStore.h
+++ b/src/Base/ObjectStore.h
@@ -8,9 +8,9 @@
 
 namespace catkinloft {
 
-/// \brief The platform's object store: whole values by name, no transactions.
+/// \brief The platform's object store. It stores values by name, without transactions.
 ///
-/// \sa TableService for the rules of callbacks.
+/// \sa TableService for when callbacks are invoked.
 class ObjectStore
 {
 public:
@@ -21,7 +21,7 @@
 
     virtual void put(std::string name, std::string body, Callback<void> done) = 0;
 
-    /// \param done gets nothing where there is no such object.
+    /// \param done gets std::nullopt if the object does not exist.
     virtual void get(std::string name, Callback<std::optional<std::string>> done) = 0;
 };
 
--- a/src/Base/Reason.h
+++ b/src/Base/Reason.h
@@ -8,8 +8,8 @@
 
 namespace catkinloft {
 
-/// \brief Why a request was refused or an attempt repeated. The codes are stable: dashboards and
-/// callers match on them.
+/// \brief Why a request was refused or retried. The codes are stable, since dashboards and callers
+/// match on them.
 enum class Reason : std::uint8_t {
     NoKey,
     UnknownKey,
@@ -49,22 +49,22 @@
     Internal,
 };
 
-/// \brief What is fixed about a reason.
+/// \brief Code, HTTP status and title of a reason.
 struct ReasonInfo
 {
     Reason reason;
     std::string_view code; ///< Stable name on the wire and in metrics.
     int status; ///< HTTP status code.
-    std::string_view title; ///< One sentence for a person.
+    std::string_view title; ///< One human-readable sentence.
 };
 
-/// \returns the fixed facts about \a reason.
+/// \returns code, status and title of \a reason.
 const ReasonInfo &reasonInfo(Reason reason);
 
-/// \returns the reason named \a code, if there is one.
+/// \returns the reason with \a code, if there is one.
 std::optional<Reason> reasonFromCode(std::string_view code);
 
-/// \returns all reasons in the order of the enumeration.
+/// \returns all reasons, in the order of the enumeration.
 std::span<const ReasonInfo> allReasons();
 
 } // namespace catkinloft
--- a/src/Base/ReplicaRecord.h
+++ b/src/Base/ReplicaRecord.h
@@ -9,50 +9,52 @@
 
 namespace catkinloft {
 
-/// \brief One running replica of a service, as it registered itself.
+/// \brief The registration of a running replica of a service.
 struct ReplicaRecord
 {
-    /// Ids travel with every beat: five digits of the start are enough, since two starts under one
-    /// id would have to lie a multiple of 100 seconds apart to the millisecond to be confused.
+    /// Every heartbeat contains incarnations, so they use only the last five digits of the start
+    /// time. Two starts with the same id are confused only if they are a multiple of 100 seconds
+    /// apart, to the millisecond.
     static constexpr std::int64_t IncarnationPeriod = 100'000;
 
-    std::string id = {}; ///< A replica that starts again may have it again.
+    std::string id = {}; ///< May be the same after a restart. \sa incarnation()
     std::string service = {};
-    std::string address = {}; ///< `ip:port`; another service may get it once the replica is gone.
+    std::string address = {}; ///< `ip:port`. Another service may reuse it when the replica is gone.
     std::string failureDomain = {};
-    std::string version = {}; ///< Of its software.
-    int slots = 1; ///< Requests that it works on at once.
-    bool draining = false; ///< Takes no new requests.
-    std::int64_t sequence = 0; ///< Rises while the process runs; 0: not told.
-    std::int64_t startedAt = 0; ///< Unix time of its start in milliseconds; 0: not told.
-    /// How long it stays cold from when its entry was read: it bears few requests a second, and
-    /// ends above.
+    std::string version = {}; ///< Software version.
+    int slots = 1; ///< Requests that it works on concurrently.
+    bool draining = false; ///< It accepts no new requests.
+    std::int64_t sequence = 0; ///< Increases while the process runs; 0: not reported.
+    std::int64_t startedAt = 0; ///< Unix time of its start in milliseconds; 0: not reported.
+    /// How long it stays cold, counted from when its entry was read. A cold replica handles only a
+    /// few requests per second and crashes above that rate.
     Duration coldFor = Duration::zero();
-    TimePoint coldUntil = {}; ///< The same by this process's clock, once the registry has it.
+    TimePoint coldUntil = {}; ///< End of the cold state by this process's clock; set by the registry.
 
-    /// \returns what tells this start of the replica from others under the same id. Counts, health
-    /// and kept prompts belong to it; to the platform a replica is known by its id.
+    /// \returns an identifier of this start of the replica, distinct from other starts with the
+    /// same id. Request counts, health and cached prompts belong to an incarnation; the platform
+    /// identifies a replica by its id only.
     std::string incarnation() const
     {
         return startedAt == 0 ? id : id + '~' + std::to_string(startedAt % IncarnationPeriod);
     }
 
-    /// \returns \a ms as the time for which a replica says that it stays cold, at most an hour.
+    /// \returns \a ms, the time for which a replica reports that it stays cold, but at most an hour.
     static Duration coldTime(double ms)
     {
         constexpr double MaxMs = 3'600'000;
         return fromSeconds(ms > 0 ? std::min(ms, MaxMs) / 1000 : 0);
     }
 
-    /// \returns what names the program that it runs: another version, or that of another service,
-    /// may do better with the same request.
+    /// \returns an identifier of the program that it runs. A request that crashes one program may
+    /// succeed on another version or another service.
     std::string software() const { return service + ' ' + version; }
 };
 
-/// \brief All replicas as of one moment of the store.
+/// \brief All replicas at one version of the store.
 struct ReplicaSnapshot
 {
-    std::uint64_t storeVersion = 0; ///< Rises with every change of the store.
+    std::uint64_t storeVersion = 0; ///< Increases with every change of the store.
     std::vector<ReplicaRecord> replicas = {};
 };
 
--- a/src/Base/RequestTrace.h
+++ b/src/Base/RequestTrace.h
@@ -7,21 +7,21 @@
 
 namespace catkinloft {
 
-/// \brief Joins the log lines of several routers into one account of a request, in plain words.
+/// \brief Merges the log lines of several routers into a readable history of one request.
 class RequestTrace
 {
 public:
     explicit RequestTrace(std::string requestId) : m_requestId(std::move(requestId)) { }
 
-    /// \brief Adds the lines of one log. What stands before the JSON object of a line is ignored;
-    /// lines that are no log lines are counted.
+    /// \brief Adds the lines of one log. Text before the JSON object of a line is ignored. Lines
+    /// without a JSON object are counted by skippedLines().
     void addLog(std::string_view text);
 
-    /// \returns the account: what happened in order, what the routers learnt meanwhile of the
-    /// replicas it was sent to, and the cause of its end.
+    /// \returns the events of the request in order of time, the state changes that routers logged
+    /// about its replicas, and the cause of its end.
     std::string account() const;
 
-    /// \returns whether any line names the request.
+    /// \returns whether a line contains the request's id.
     bool isKnown() const { return !m_events.empty(); }
 
     std::size_t skippedLines() const { return m_skipped; }
@@ -30,13 +30,13 @@
     struct Event
     {
         std::string time;
-        std::string source; ///< Router.
+        std::string source; ///< Name of the router.
         std::string name;
         std::string sentence;
-        std::string cause; ///< Of the end, where this ends the request.
+        std::string cause; ///< Cause of the request's end, if this event ends it.
         std::string replica;
         std::string requestId;
-        std::string fingerprint; ///< Of the request's content, where the line names it.
+        std::string fingerprint; ///< Fingerprint of the request's content, if logged.
     };
 
     void addLine(std::string_view line);
@@ -44,9 +44,9 @@
     std::vector<Event> relatedCrashes() const;
 
     std::string m_requestId;
-    std::vector<Event> m_events; ///< Of the request.
-    std::vector<Event> m_beliefs; ///< What routers learnt of replicas.
-    std::vector<Event> m_crashes; ///< Replicas that ended while they ran a request.
+    std::vector<Event> m_events; ///< Events of the request.
+    std::vector<Event> m_beliefs; ///< State changes of replicas that routers logged.
+    std::vector<Event> m_crashes; ///< Crashes of replicas while they worked on a request.
     std::size_t m_skipped = 0;
 };
 
--- a/src/Base/RouteConfig.h
+++ b/src/Base/RouteConfig.h
@@ -10,11 +10,11 @@
 
 namespace catkinloft {
 
-/// \brief How often a request may be executed, and what its answer looks like.
+/// \brief Whether a request may be executed more than once, and the form of its answer.
 enum class CallKind : std::uint8_t {
     Idempotent,
     NonIdempotent,
-    Streaming, ///< A series of server-sent events.
+    Streaming, ///< The answer is a stream of server-sent events.
 };
 
 /// \brief A service that a route sends a share of its requests to.
@@ -24,50 +24,52 @@
     double weight = 1; ///< Relative to the other targets of the route.
 };
 
-/// \brief Requests to one host under one path prefix, and how they are served.
+/// \brief How requests to one host with one path prefix are served.
 struct Route
 {
     std::string name = {};
-    std::string host = {}; ///< Lower case, without a port.
+    std::string host = {}; ///< In lower case, without a port.
     std::string pathPrefix = {}; ///< Begins and ends with a slash.
     CallKind kind = CallKind::NonIdempotent;
-    bool resumable = false; ///< A broken stream may go on at another replica.
-    bool needsKey = true; ///< Callers have to show the API key of a workspace.
-    bool usesPromptCache = false; ///< Prompts share parts that replicas keep in memory.
+    bool resumable = false; ///< An interrupted stream may be resumed at another replica.
+    bool needsKey = true; ///< Callers must send the API key of a workspace.
+    bool usesPromptCache = false; ///< Prompts have common parts that replicas cache.
     int priority = 0; ///< 0 is the most urgent.
     int maxAttempts = 1; ///< Replicas that one request may be sent to.
-    Duration timeout = std::chrono::seconds(30); ///< Longest wait for the end of the answer.
+    Duration timeout = std::chrono::seconds(30); ///< Longest wait for the complete answer.
     Duration targetLatency = std::chrono::seconds(1); ///< An answer within it is on time.
     std::optional<Duration> maxEventGap = {}; ///< Longest pause of a stream that is on time.
     std::vector<RouteTarget> targets = {};
-    std::vector<std::string> regions = {}; ///< Whose replicas may get them; empty: all.
+    std::vector<std::string> regions = {}; ///< Regions whose replicas may be used; empty: all.
 
-    /// \returns whether executing a request twice does no harm.
+    /// \returns whether it is safe to execute a request twice.
     bool isIdempotent() const
     {
         return kind == CallKind::Idempotent || (kind == CallKind::Streaming && resumable);
     }
 };
 
-/// \brief What is the same for all replicas of a service.
+/// \brief Properties that all replicas of a service have in common.
 struct ServiceConfig
 {
     std::string name = {};
-    int maxConnections = 0; ///< Accepted by one replica from all routers together; 0: not stated.
-    bool isEngine = false; ///< Runs models; its replicas keep prompts in memory.
-    double coldRequestsPerSecond = 0; ///< That a cold replica bears; 0: replicas are never cold.
+    /// Connections that one replica accepts from all routers together; 0: not configured.
+    int maxConnections = 0;
+    bool isEngine = false; ///< Its replicas run models and cache prompts.
+    double coldRequestsPerSecond = 0; ///< Rate limit of a cold replica; 0: replicas are never cold.
 };
 
-/// \brief A workspace and the keys by which its callers are known.
+/// \brief A workspace and the API keys that identify its callers.
 struct WorkspaceConfig
 {
     std::string name = {};
     std::vector<std::string> apiKeys = {};
-    std::optional<int> priority = {}; ///< Goes before the priority of the route.
-    std::vector<std::string> regions = {}; ///< \sa Route::regions; both bind.
+    std::optional<int> priority = {}; ///< Overrides the priority of the route.
+    /// Further restricts Route::regions: a replica's region must be in both; empty: all.
+    std::vector<std::string> regions = {};
 };
 
-/// \brief Routes, services and workspaces as one revision has them.
+/// \brief One revision of the routes, services and workspaces.
 struct RouteConfig
 {
     std::uint64_t revision = 0;
@@ -75,7 +77,8 @@
     std::vector<ServiceConfig> services = {};
     std::vector<WorkspaceConfig> workspaces = {};
     Duration idleTimeout = std::chrono::seconds(60); ///< Of a caller's connection.
-    std::string sourceText = {}; ///< As read, so that another router can decode the same.
+    /// The text that was decoded. It is sent to other routers, which decode it in the same way.
+    std::string sourceText = {};
 };
 
 using RouteConfigPtr = std::shared_ptr<const RouteConfig>;
--- a/src/Base/Settings.h
+++ b/src/Base/Settings.h
@@ -14,59 +14,61 @@
 struct ListenerLimits
 {
     std::size_t maxHeaderBytes = 16 * 1024;
-    std::size_t maxBodyBytes = 4 * 1024 * 1024; ///< A long finding aid fits with room to spare.
+    std::size_t maxBodyBytes = 4 * 1024 * 1024; ///< Large enough for a long finding aid.
     int maxConnections = 10'000;
-    Duration idleTimeout = std::chrono::seconds(60); ///< Longest silence on a connection.
+    Duration idleTimeout = std::chrono::seconds(60); ///< Longest time without data on a connection.
 };
 
-/// \brief Where the platform's services are, as `ip:port`.
+/// \brief Addresses of the platform's services, each `ip:port`.
 struct PlatformSettings
 {
     std::string tableService;
     std::string objectStore;
     std::string vmList;
     std::string weightStore;
-    Duration timeout = std::chrono::seconds(2); ///< Longest wait for one answer.
+    Duration timeout = std::chrono::seconds(2); ///< Timeout of one call.
 };
 
-/// \brief Certificate and key of a listener; empty paths: plain TCP.
+/// \brief Certificate and key files of a listener. With empty paths it uses plain TCP.
 struct TlsSettings
 {
     std::string certificateFile;
     std::string keyFile;
-    std::string caFile; ///< Certificates that upstreams are checked against; empty: plain TCP.
+    std::string caFile; ///< CA certificates to verify upstreams with; empty: plain TCP.
 };
 
-/// \brief A secret shared by all routers, with the id that goes on the wire.
+/// \brief A secret that all routers share, and its id, which is sent with signatures.
 struct SharedKey
 {
     std::string id;
     std::string secret;
 };
 
-/// \brief What a router process learns from its settings file.
+/// \brief Settings file of a router process.
 struct Settings
 {
-    std::string name; ///< Unique among the routers alive at one time.
+    std::string name; ///< Unique among the running routers.
     std::string failureDomain;
     std::string region;
     std::string callerAddress; ///< `ip:port` that callers connect to.
     std::string peerAddress; ///< `ip:port` for routers, TCP and UDP.
-    std::vector<std::string> seeds; ///< Peer addresses to try before the VM list has answered.
-    std::vector<SharedKey> peerKeys; ///< The first one signs, every one is accepted.
-    std::vector<SharedKey> refusalKeys; ///< The first one signs, every one is accepted.
-    std::string bootstrapKeySha256; ///< Who may set the first configuration; empty: nobody.
+    std::vector<std::string> seeds; ///< Peer addresses to use until the VM list answers.
+    std::vector<SharedKey> peerKeys; ///< The first one signs; all are accepted.
+    std::vector<SharedKey> refusalKeys; ///< The first one signs; all are accepted.
+    /// Hash of the key that may set the first configuration; empty: nobody may.
+    std::string bootstrapKeySha256;
     PlatformSettings platform;
     ListenerLimits limits;
     TlsSettings tls;
-    /// How long a stopping router still takes new work, from callers that have not heard of it.
+    /// How long a stopping router still accepts new requests, because callers may not yet know that
+    /// it stops.
     Duration drainGrace = std::chrono::seconds(3);
     Duration drainTimeout = std::chrono::seconds(30); ///< Longest wait for requests in progress.
-    std::size_t maxStreamBuffer = 256 * 1024; ///< Bytes held for one slow caller.
-    std::size_t maxBuffered = 128 * 1024 * 1024; ///< Bytes held for all callers together.
+    std::size_t maxStreamBuffer = 256 * 1024; ///< Bytes buffered for one slow caller.
+    std::size_t maxBuffered = 128 * 1024 * 1024; ///< Bytes buffered for all callers together.
 
-    /// \brief Parses and checks \a text, reporting every mistake.
-    /// \returns nothing where there was any problem.
+    /// \brief Parses and validates \a text and adds every error to \a problems.
+    /// \returns null if there was an error.
     static std::shared_ptr<const Settings> parse(const std::string &text, const std::string &file,
                                                  YamlProblems &problems);
 };
--- a/src/Base/TableService.h
+++ b/src/Base/TableService.h
@@ -15,10 +15,11 @@
 {
     std::string key = {};
     std::string value = {};
-    std::uint64_t version = 0; ///< Rises with every write of the row; 0: the row does not exist.
+    std::uint64_t version = 0; ///< Increases with every write of the row; 0: it does not exist.
 };
 
-/// \brief A transaction: all writes take effect if every expected version matches, else none.
+/// \brief A transaction. All of its writes take effect if every expected version matches, otherwise
+/// none does.
 struct TableTransaction
 {
     struct Expect
@@ -29,25 +30,25 @@
     struct Write
     {
         std::string key;
-        std::optional<std::string> value; ///< Nothing: the row is removed.
+        std::optional<std::string> value; ///< std::nullopt removes the row.
     };
 
     std::vector<Expect> expects;
     std::vector<Write> writes;
 };
 
-/// \brief The table service's answer to a transaction that it decided on.
+/// \brief The table service's answer to a transaction, whether or not it was committed.
 struct TableCommit
 {
     bool committed = false;
-    std::vector<TableRow> current = {}; ///< The rows named in `expects`, as they stand now.
+    std::vector<TableRow> current = {}; ///< Current rows of the keys in `expects`.
 };
 
 /// \brief The platform's transactional table service.
 ///
-/// Every call is asynchronous and calls back exactly once, on the thread of the event loop. An
-/// error with Verdict::MayHaveRun means that a commit may have taken effect; only reading back
-/// settles it.
+/// Every call is asynchronous and invokes its callback exactly once, on the event loop's thread.
+/// After an error with Verdict::MayHaveRun a commit may or may not have taken effect; only reading
+/// the rows shows which.
 class TableService
 {
 public:
--- a/src/Base/Verdict.h
+++ b/src/Base/Verdict.h
@@ -6,15 +6,15 @@
 
 /// \brief Whether the upstream may have executed a request.
 ///
-/// A caller is told this with every answer, so it is only ever moved towards NotRun by the
-/// upstream's own contract.
+/// It is reported to the caller with every answer. Therefore only a guarantee of the upstream may
+/// change it towards NotRun.
 enum class Verdict {
-    NotRun, ///< No byte left for the upstream, or its contract says that it did nothing.
-    MayHaveRun, ///< A byte may have left and no complete answer came back.
-    Ran, ///< A complete answer came back.
+    NotRun, ///< No byte was sent to the upstream, or it guarantees that it executed nothing.
+    MayHaveRun, ///< A byte may have been sent, and no complete answer was received.
+    Ran, ///< A complete answer was received.
 };
 
-/// \returns the name used on the wire: `not_run`, `may_have_run` or `ran`.
+/// \returns the name on the wire: `not_run`, `may_have_run` or `ran`.
 constexpr std::string_view toString(Verdict v)
 {
     switch (v) {
@@ -28,7 +28,8 @@
     return "may_have_run";
 }
 
-/// \returns the more cautious of two verdicts about attempts at one request.
+/// \returns the verdict on a request from the verdicts on two of its attempts: the one further from
+/// NotRun.
 constexpr Verdict combine(Verdict a, Verdict b)
 {
     return a < b ? b : a;
--- a/src/Base/VmList.h
+++ b/src/Base/VmList.h
@@ -8,7 +8,7 @@
 
 namespace catkinloft {
 
-/// \brief One VM of the platform's list.
+/// \brief An entry of the platform's VM list.
 struct VmEntry
 {
     std::string name = {};
@@ -18,13 +18,13 @@
     bool leaving = false;
 };
 
-/// \brief The platform's list of live and leaving VMs; it lags and may be wrong.
+/// \brief The platform's list of live and leaving VMs. It is delayed and may be wrong.
 class VmList
 {
 public:
     virtual ~VmList() = default;
 
-    /// \sa TableService for the rules of callbacks.
+    /// \sa TableService for when callbacks are invoked.
     virtual void read(std::function<void(Result<std::vector<VmEntry>>)> done) = 0;
 };
 
--- a/src/Base/YamlSection.cpp
+++ b/src/Base/YamlSection.cpp
@@ -280,7 +280,7 @@
     if (v6)
         host = host.substr(1, host.size() - 2);
     in6_addr parsed{};
-    // inet_pton() stops at the first NUL and would not see what follows it.
+    // inet_pton() stops at the first NUL and would accept anything after it.
     if (!port || *port == 0 || host.find('\0') != std::string::npos
         || inet_pton(v6 ? AF_INET6 : AF_INET, host.c_str(), &parsed) != 1)
         return std::nullopt;
--- a/src/Base/YamlSection.h
+++ b/src/Base/YamlSection.h
@@ -14,13 +14,13 @@
 
 namespace catkinloft {
 
-/// \brief One mistake in a YAML file.
+/// \brief An error in a YAML file.
 struct YamlProblem
 {
     std::string file;
-    int line = 0; ///< Counted from 1; 0 where the file as a whole is meant.
-    std::string key; ///< Dotted path from the root.
-    std::string message; ///< What was expected, with its unit, and what was found.
+    int line = 0; ///< Counted from 1; 0 if the error concerns the whole file.
+    std::string key; ///< Path from the root, separated by dots.
+    std::string message; ///< The expected value with its unit, and the value found.
 
     /// \returns `file:line: key: message`.
     std::string text() const;
@@ -28,14 +28,14 @@
 
 using YamlProblems = std::vector<YamlProblem>;
 
-/// \brief Reads one YAML mapping key by key and collects every mistake instead of stopping at the
-/// first one. finish() reports the keys that nobody asked for.
+/// \brief Reads a YAML mapping key by key and collects all errors instead of stopping at the first
+/// one. finish() reports unknown keys, which are those that were not read.
 class YamlSection
 {
 public:
-    /// \param node the mapping; an undefined node reads as an empty one.
-    /// \param path dotted path of \a node from the root, for messages.
-    /// \param line where a missing mapping would stand, for messages.
+    /// \param node the mapping; an undefined node is treated as an empty mapping.
+    /// \param path path of \a node from the root, separated by dots, for messages.
+    /// \param line line to report if \a node is missing.
     YamlSection(YAML::Node node, std::string file, std::string path, YamlProblems &problems,
                 int line = 1);
 
@@ -53,27 +53,28 @@
     Duration duration(std::string_view key, Duration min, Duration max,
                       std::optional<Duration> fallback = std::nullopt);
 
-    /// \brief Reads `ip:port`, the only form of address that the platform routes.
+    /// \brief Reads `ip:port`. The platform routes no other form of address.
     std::string address(std::string_view key, std::optional<std::string> fallback = std::nullopt);
 
     std::vector<std::string> textList(std::string_view key);
 
-    /// \returns the mapping under \a key; empty where it is missing.
+    /// \returns the mapping under \a key; empty if it is missing.
     YamlSection section(std::string_view key);
 
-    /// \returns the mappings of the list under \a key; empty where it is missing.
+    /// \returns the mappings of the list under \a key; empty if it is missing.
     std::vector<YamlSection> sections(std::string_view key);
 
-    /// \brief Adds a problem at \a key, or at this mapping for an empty key.
+    /// \brief Adds a problem at \a key, or at this mapping if \a key is empty.
     void problem(std::string_view key, std::string message);
 
-    /// \brief Reports keys that were never read.
+    /// \brief Adds a problem for each key that was not read.
     void finish();
 
     const std::string &path() const { return m_path; }
 
 private:
-    /// \returns the node under \a key, or nothing after reporting a missing or wrong-typed one.
+    /// \returns the scalar under \a key. If it is missing, which is a problem where it is
+    /// \a required, or no scalar, returns nothing.
     std::optional<YAML::Node> scalar(std::string_view key, bool required,
                                      std::string_view expected);
     std::string pathOf(std::string_view key) const;
@@ -86,15 +87,15 @@
     std::set<std::string, std::less<>> m_read;
 };
 
-/// \brief Parses \a text as one YAML document whose root is a mapping.
-/// \returns the root, or nothing after adding a problem.
+/// \brief Parses \a text as a YAML document whose root is a mapping.
+/// \returns the root. If \a text is none, adds a problem and returns nothing.
 std::optional<YAML::Node> parseYaml(const std::string &text, const std::string &file,
                                     YamlProblems &problems);
 
-/// \returns the duration that \a text names, as `250ms` or `4s`; nothing where it is not one.
+/// \returns the duration in \a text, such as `250ms` or `4s`; nothing if it is not one.
 std::optional<Duration> parseDuration(std::string_view text);
 
-/// \returns \a d as `250ms` or `4s`, in the largest unit that keeps it whole.
+/// \returns \a d as text such as `250ms` or `4s`, in the largest unit that gives an integer.
 std::string formatDuration(Duration d);
 
 /// \brief An IP address and a port.
@@ -104,7 +105,7 @@
     std::uint16_t port = 0;
 };
 
-/// \returns the parts of `ip:port` or `[ipv6]:port`; nothing where \a text is neither.
+/// \returns the endpoint in \a text, which is `ip:port` or `[ipv6]:port`; nothing if it is neither.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
 } // namespace catkinloft
--- a/src/Base/internal/InventoryOutline.cpp
+++ b/src/Base/internal/InventoryOutline.cpp
@@ -12,9 +12,9 @@
 struct Block
 {
     std::string_view key;
-    std::string_view rest; ///< Of the first line, behind the colon.
-    std::string_view text; ///< With the first line.
-    std::vector<std::string_view> lines; ///< Without the first one.
+    std::string_view rest; ///< The first line after the colon.
+    std::string_view text; ///< All lines.
+    std::vector<std::string_view> lines; ///< All lines except the first one.
 };
 
 std::string_view trimmed(std::string_view line)
@@ -43,7 +43,7 @@
 }
 constexpr std::array<bool, 256> IsSpecial = specialCharacters();
 
-/// Characters by which YAML leaves the reach of lines and indentation.
+/// \returns whether \a line has no YAML syntax that cannot be split by lines and indentation.
 bool isPlainLine(std::string_view line)
 {
     if (line.starts_with("---") || line.starts_with("..."))
--- a/src/Base/internal/InventoryOutline.h
+++ b/src/Base/internal/InventoryOutline.h
@@ -6,17 +6,18 @@
 
 namespace catkinloft::internal {
 
-/// \brief Where the entries of the two long lists of an inventory stand in its text, found by
-/// indentation alone.
+/// \brief Positions of the entries of an inventory's two long lists in its text, found from the
+/// indentation only.
 struct InventoryOutline
 {
     std::vector<std::string_view> engines; ///< Text of each entry, in order.
     std::vector<std::string_view> workspaces;
     std::string_view places; ///< The whole block.
-    std::vector<std::string_view> others; ///< All blocks but engines and workspaces.
+    std::vector<std::string_view> others; ///< All blocks except engines and workspaces.
 
-    /// \returns nothing where \a text uses YAML that lines and indentation don't tell (anchors,
-    /// block scalars, tags, documents, quotes over lines); such a text needs the whole parser.
+    /// \returns nothing if \a text uses YAML that cannot be split by lines and indentation:
+    /// anchors, block scalars, tags, multiple documents, or quoted text over several lines. Such a
+    /// text needs the full parser.
     static std::optional<InventoryOutline> of(std::string_view text);
 };
 
--- a/src/Base/internal/InventoryReader.cpp
+++ b/src/Base/internal/InventoryReader.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t Sha256HexDigits = 64;
 constexpr double MaxWeight = 1000;
 
-/// Names seen so far in one list, to report the second use of one.
+/// The names in one list, to report duplicates.
 class UniqueNames
 {
 public:
--- a/src/Base/internal/InventoryReader.h
+++ b/src/Base/internal/InventoryReader.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft::internal {
 
-/// \brief Fills \a out from \a root; mistakes go to the problems that \a root was made with.
+/// \brief Fills \a out from \a root. Errors are added to the problems that \a root refers to.
 void readInventory(YamlSection root, Inventory &out);
 
 } // namespace catkinloft::internal
--- a/src/Cli/ApplyCommand.cpp
+++ b/src/Cli/ApplyCommand.cpp
@@ -36,8 +36,8 @@
         return exit_code::Failed;
     }
     fmt::print("{}", describeDelta(before.value().text, *text, MaxDiffLines));
-    // Without BASE the change is against what is in force now, difference and all; with it, a
-    // change that came in between is not overwritten.
+    // Without BASE the change is based on the active configuration, which the printed difference
+    // refers to. With BASE the router refuses to overwrite a change made since that revision.
     const std::string tag =
             arguments.size() > 1 ? fmt::format("\"{}\"", arguments[1]) : before.value().tag;
     return internal::sendConfig("/v1/config", tag, *text);
--- a/src/Cli/Cli.h
+++ b/src/Cli/Cli.h
@@ -1,6 +1,6 @@
 #pragma once
 
 /// \file
-/// \brief Module Cli: the command line of the one program.
+/// \brief Module Cli: the command line of the program `catkinloft`.
 
 #include "Cli/Command.h" // IWYU pragma: export
--- a/src/Cli/Command.h
+++ b/src/Cli/Command.h
@@ -7,11 +7,11 @@
 
 namespace catkinloft {
 
-/// \brief Exit codes of every subcommand; docs/OPERATING.md lists them.
+/// \brief Exit codes of all subcommands, documented in docs/OPERATING.md.
 namespace exit_code {
 inline constexpr int Ok = 0;
-inline constexpr int Failed = 1; ///< The system refused or could not be reached.
-inline constexpr int Usage = 2; ///< The command line or a file has mistakes.
+inline constexpr int Failed = 1; ///< The system refused, or was unreachable.
+inline constexpr int Usage = 2; ///< The command line or a file has errors.
 inline constexpr int Unknown = 3; ///< The change may or may not have been accepted.
 } // namespace exit_code
 
@@ -24,10 +24,10 @@
     std::function<int(std::span<char *const> arguments)> run;
 };
 
-/// \returns all subcommands in the order of the help page.
+/// \returns all subcommands, in the order of the help page.
 std::span<const Command> allCommands();
 
-/// \brief Runs the subcommand that the command line names.
+/// \brief Runs the subcommand given on the command line.
 /// \returns the exit code of the process.
 int runCommandLine(int argc, char **argv);
 
--- a/src/Cli/Commands.h
+++ b/src/Cli/Commands.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft {
 
-// One function a subcommand, each in a file named after it; all return an exit code.
+// One function per subcommand, each in a file of its own. All return an exit code.
 int runRouter(std::span<char *const> arguments);
 int runEntry(std::span<char *const> arguments);
 int runCheck(std::span<char *const> arguments);
--- a/src/Cli/EntryCommand.cpp
+++ b/src/Cli/EntryCommand.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char *SettingsVariable = "CATKINLOFT_CONFIG";
 
-/// \returns the path of the settings file: the argument, or what the environment names.
+/// \returns the path of the settings file, from the argument or else from the environment.
 const char *settingsPath(std::span<char *const> arguments)
 {
     return arguments.empty() ? std::getenv(SettingsVariable) : arguments[0];
--- a/src/Cli/internal/CheckFile.h
+++ b/src/Cli/internal/CheckFile.h
@@ -6,8 +6,8 @@
 
 namespace catkinloft::internal {
 
-/// \brief Checks the file at \a path: with a caller or peer address it is a router's settings, else
-/// an inventory. Mistakes go to \a problems.
+/// \brief Validates the file at \a path as a router's settings if it has a caller or peer address,
+/// otherwise as an inventory. Errors are added to \a problems.
 void checkFile(const std::string &path, YamlProblems &problems);
 
 } // namespace catkinloft::internal
--- a/src/Cli/internal/ConfigRequest.cpp
+++ b/src/Cli/internal/ConfigRequest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Times that a change whose answer was lost is sent again.
+/// How often a change is sent at most if the answers are lost.
 constexpr int MaxTries = 3;
 
 std::string changeId()
@@ -26,7 +26,7 @@
     return fmt::format("{:016x}{:016x}", random(), random());
 }
 
-/// \returns whether the router itself could not find out if the change was accepted.
+/// \returns whether the router answered that it does not know if the change was accepted.
 bool isUnsettled(const HttpAnswer &answer)
 {
     return answer.head.status == 503 && answer.body.find("\"may_have_run\"") != std::string::npos;
--- a/src/Cli/internal/Tools.h
+++ b/src/Cli/internal/Tools.h
@@ -9,26 +9,26 @@
 
 namespace catkinloft::internal {
 
-/// \returns the content of the file at \a path; nothing where it can not be read.
+/// \returns the content of the file at \a path, or nothing if it cannot be read.
 std::optional<std::string> readFile(const std::string &path);
 
-/// \brief The same for a file named on the command line: complains where it can not be read.
+/// \brief Reads a file that is named on the command line. Prints an error if it cannot be read.
 std::optional<std::string> readArgument(const char *path);
 
-/// \brief Sends \a call and waits for its answer.
+/// \brief Sends \a call and blocks until it is answered or failed.
 Result<HttpAnswer> fetchNow(HttpCall call);
 
-/// \brief Reads the JSON object at \a target of a router, as an operator.
+/// \brief Requests the JSON object at \a target from a router, as an operator.
 Result<Json::Value> fetchJson(const std::string &target);
 
-/// \returns the address of a router, from the flag `--router`.
+/// \returns the value of the flag `--router`.
 std::string routerAddress();
 
-/// \returns the Authorization header made from the environment variable CATKINLOFT_KEY, which
-/// keeps the key out of process lists.
+/// \returns the Authorization header with the key from the environment variable CATKINLOFT_KEY. A
+/// flag would show the key in process lists.
 HttpHeaders authorization();
 
-/// \brief Prints \a text to standard error after the program's name.
+/// \brief Prints the program's name and \a text to standard error.
 void complain(const std::string &text);
 
 } // namespace catkinloft::internal
--- a/test/CheckTest.cpp
+++ b/test/CheckTest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("check_eachBadFile_namesItsMistakeOnce")
+TEST_CASE("checkFile_invalidFile_reportsFileKeyAndLine")
 {
     std::ifstream list(Data + "/bad/expected.txt");
     int files = 0;
@@ -34,7 +34,7 @@
     CHECK(files >= 50);
 }
 
-TEST_CASE("check_goodFiles_findsNothing")
+TEST_CASE("checkFile_validFiles_reportsNoProblem")
 {
     YamlProblems problems;
     internal::checkFile(Data + "/good-settings.yaml", problems);
@@ -42,7 +42,7 @@
     CHECK(problems.empty());
 }
 
-TEST_CASE("check_missingFile_saysSo")
+TEST_CASE("checkFile_missingFile_reportsThatItCannotBeRead")
 {
     YamlProblems problems;
     internal::checkFile(Data + "/no-such-file.yaml", problems);
--- a/test/EntrySettingsTest.cpp
+++ b/test/EntrySettingsTest.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_nothingChanged_nothingIsTakenOver")
+TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_sameSettings_changesNothing")
 {
     const EntrySettings::Adjusted adjusted = settings.adjust(next);
     CHECK(adjusted.changed.empty());
     CHECK(adjusted.needsRestart.empty());
 }
 
-TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_limitsChanged_areInForceWithoutARestart")
+TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_limitsChanged_applyWithoutRestart")
 {
     next.processorShare = 0.5;
     next.keyProofLimit = 7s;
@@ -39,7 +39,7 @@
     CHECK(settings.stopLimit == 4s);
 }
 
-TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_addressChanged_needsARestartAndStays")
+TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_addressChanged_needsRestartAndKeepsOldValue")
 {
     next.callerAddress = "127.0.0.1:81";
     next.maxConnections = 7;
@@ -52,7 +52,7 @@
     CHECK(settings.maxConnections == 3000);
 }
 
-TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_mechanismSwitchedOff_othersStayOn")
+TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_oneMechanismDisabled_othersStayEnabled")
 {
     YamlProblems problems;
     const auto read = EntrySettings::parse("name: a\n"
@@ -69,7 +69,7 @@
     CHECK(settings.adjust(*read).needsRestart.size() > 1);
 }
 
-TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_unknownMechanism_isAProblem")
+TEST_CASE_FIXTURE(EntrySettingsFixture, "entrySettings_unknownMechanism_reportsProblem")
 {
     YamlProblems problems;
     CHECK_FALSE(EntrySettings::parse("name: a\n"
--- a/test/InventoryParserTest.cpp
+++ b/test/InventoryParserTest.cpp
@@ -46,7 +46,7 @@
 
     InventoryPtr parse() { return parser.parse(text(), "i.yaml", ++revision, problems); }
 
-    /// Checks that the quick way reads the same as the whole parser.
+    /// Checks that the incremental parser and the full parser return the same result and problems.
     void checkSame()
     {
         YamlProblems expectedProblems;
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "parser_oneEntryChanged_readsOnlyThatOne")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_oneEntryChanged_readsOnlyThatEntry")
 {
     engines[4] = engineEntry(5, 99);
     checkSame();
@@ -88,14 +88,14 @@
     CHECK(parser.entriesRead() == 0);
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "parser_nameUsedTwice_isRefusedWithItsLine")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_duplicateName_reportsSameProblemsAsFullParser")
 {
     engines[4] = engineEntry(6, 99);
     checkSame();
     CHECK(problems.size() == 2);
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "parser_placeRemoved_refusesEnginesReadBefore")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_placeRemoved_reportsKnownEngines")
 {
     tail = "";
     std::string gone = text();
@@ -104,10 +104,10 @@
     CHECK(problems.size() == 20);
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "parser_yamlBeyondLines_readsAsTheWholeParser")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_yamlNotSplitByLines_agreesWithFullParser")
 {
-    // Anchors, block scalars, quotes over lines, a document mark, an odd indentation, a list in
-    // flow style: each must come out as the whole parser has it, right or wrong.
+    // Anchors, block scalars, quoted text over several lines, a document marker, unusual
+    // indentation, lists in flow style and malformed texts. The full parser decides what is valid.
     for (const char *it :
          {"rules: &r\n  load_bound: 1.5\n", "rules:\n  load_bound: |\n    1.5\n",
           "rules:\n  load_bound: \"1.\n  5\"\n", "---\nrules: {}\n", "operators:\n- name: x\n",
@@ -119,7 +119,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "parser_randomEdits_alwaysAgreesWithTheWholeParser")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_randomEdits_agreesWithFullParser")
 {
     const RandomSource random = seededRandom(7);
     for (int step = 0; step < 300; ++step) {
@@ -139,7 +139,7 @@
             std::swap(list[i], list.front());
             break;
         case 3: {
-            // A byte of rubbish, taken back after the comparison.
+            // Replaces one byte by a random one, and restores it after the comparison.
             const std::string before = list[i];
             list[i][below(random, before.size())] = "{}[]:-#\"' x\n&"[below(random, 13)];
             checkSame();
--- a/test/RequestTraceTest.cpp
+++ b/test/RequestTraceTest.cpp
@@ -42,7 +42,7 @@
     std::string log;
 };
 
-/// A log on a pipe that nobody reads.
+/// A small pipe for a log, which is not read while the log is written.
 struct BlockedLogFixture
 {
     BlockedLogFixture()
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_refusedAfterFailedAttempt_namesTheCause")
+TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_refusedAfterFailedAttempt_showsCause")
 {
     logRequestEvent(event(RequestEvent::Kind::Sent, "r1"));
     logRequestEvent(event(RequestEvent::Kind::Sent, "r2"));
@@ -96,8 +96,9 @@
     CHECK(account.ends_with("cause: upstream_broken: the connection broke\n"));
 }
 
-// Guards against a refusal that does not lead to the replicas that ended.
-TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_heldBack_namesTheEndsUnderTheSameContent")
+// Guards against a trace that does not show which crashes led to the quarantine of a request. The
+// crashes are logged under the ids of other requests with the same content.
+TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_quarantinedRequest_showsCrashesWithSameContent")
 {
     const auto ended = [](std::string_view id, std::string_view fingerprint,
                           std::string_view replica) {
@@ -122,7 +123,7 @@
     CHECK(account.find("cause: request_quarantined") != account.npos);
 }
 
-TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_noEndLogged_saysSo")
+TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_noEndLogged_reportsUnknownCause")
 {
     logRequestEvent(event(RequestEvent::Kind::Sent, "r1"));
     RequestTrace trace("r1");
@@ -133,7 +134,7 @@
     CHECK_FALSE(other.isKnown());
 }
 
-TEST_CASE_FIXTURE(BlockedLogFixture, "logWriter_nobodyReads_neitherBlocksNorGrows")
+TEST_CASE_FIXTURE(BlockedLogFixture, "logWriter_pipeNotRead_neitherBlocksNorGrows")
 {
     LogWriter writer({.loop = loop, .fd = ends[1], .capacity = 10'000});
     const std::string line(99, 'x');
--- a/test/YamlSectionTest.cpp
+++ b/test/YamlSectionTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(YamlSectionFixture, "section_unknownKey_namesKeyAndLine")
+TEST_CASE_FIXTURE(YamlSectionFixture, "yamlSection_unknownKey_reportsKeyAndLine")
 {
     YamlSection it = section("known: 1\nunknwon: 2\n");
     CHECK(it.integer("known", 0, 9, "apples") == 1);
@@ -28,7 +28,7 @@
     CHECK(problems[0].text() == "file.yaml:2: unknwon: is not a known key");
 }
 
-TEST_CASE_FIXTURE(YamlSectionFixture, "section_valueOutOfRange_namesRangeAndUnit")
+TEST_CASE_FIXTURE(YamlSectionFixture, "yamlSection_valueOutOfRange_reportsRangeAndUnit")
 {
     YamlSection it = section("count: 12\n");
     it.integer("count", 0, 9, "apples");
@@ -37,7 +37,7 @@
           == "file.yaml:1: count: expected a whole number of apples from 0 to 9, found '12'");
 }
 
-TEST_CASE_FIXTURE(YamlSectionFixture, "section_wrongTypes_reportsEach")
+TEST_CASE_FIXTURE(YamlSectionFixture, "yamlSection_wrongTypes_reportsEach")
 {
     YamlSection it = section("a: [1]\nb: maybe\nc: 5 parsecs\nd: 1.2.3.4\n");
     it.text("a");
@@ -47,7 +47,7 @@
     CHECK(problems.size() == 4);
 }
 
-TEST_CASE("parseDuration_units_readsAndRejects")
+TEST_CASE("parseDuration_validAndInvalidTexts_acceptsOnlyValid")
 {
     CHECK(parseDuration("250ms") == Duration(250ms));
     CHECK(parseDuration("4s") == Duration(4s));
@@ -56,7 +56,7 @@
         CHECK_FALSE(parseDuration(it));
 }
 
-TEST_CASE("parseEndpoint_addresses_acceptsOnlyIpAndPort")
+TEST_CASE("parseEndpoint_validAndInvalidAddresses_acceptsOnlyIpAndPort")
 {
     CHECK(parseEndpoint("127.0.0.1:80")->port == 80);
     CHECK(parseEndpoint("[::1]:80")->host == "::1");
--- a/test/main.cpp
+++ b/test/main.cpp
@@ -7,8 +7,8 @@
 
 int main(int argc, char **argv)
 {
-    std::signal(SIGPIPE, SIG_IGN); // As all programs do.
-    // Log lines of the code under test would bury what failed.
+    std::signal(SIGPIPE, SIG_IGN); // As in the programs under test.
+    // Discards log lines, which would make failed checks hard to find in the output.
     catkinloft::Log::setSink([](catkinloft::LogLevel, std::string_view) {});
     return doctest::Context(argc, argv).run();
 }
