--- a/src/Base/Compression.cpp
+++ b/src/Base/Compression.cpp
@@ -74,9 +74,9 @@
         out.append(piece.data(), piece.size() - it.stream.avail_out);
     }
     if (out.size() > maxSize)
-        return malformed(fmt::format("compressed text of more than {} bytes", maxSize));
+        return malformed(fmt::format("decompressed text is longer than {} bytes", maxSize));
     if (state != Z_STREAM_END || it.stream.avail_in != 0)
-        return malformed("not a whole compressed text");
+        return malformed("compressed text is truncated or malformed");
     return out;
 }
 
@@ -86,7 +86,7 @@
 {
     Inflater it;
     if (!it.ready)
-        return malformed("no memory for decompression");
+        return malformed("cannot initialize decompression");
     return inflateAll(it, bytes, maxSize);
 }
 
@@ -117,7 +117,7 @@
         || inflateSetDictionary(&it.stream, bytesOf(dictionary),
                                 static_cast<uInt>(dictionary.size()))
                 != Z_OK)
-        return malformed("no memory for decompression");
+        return malformed("cannot initialize decompression");
     return inflateAll(it, bytes, maxSize);
 }
 
--- a/src/Base/Compression.h
+++ b/src/Base/Compression.h
@@ -9,7 +9,7 @@
 namespace catkinloft {
 
 /// \returns \a text in the zlib format (RFC 1950), compressed for speed rather than size: a
-/// configuration of 450 KB shrinks to a sixth in 4 ms of processor time.
+/// configuration of 1,450 routes (450 KB) shrinks to a sixth in 4 ms of processor time.
 std::string compress(std::string_view text);
 
 /// \returns the text that compress() compressed to \a bytes. Returns MalformedRequest if \a bytes
--- a/src/Base/Log.h
+++ b/src/Base/Log.h
@@ -53,8 +53,8 @@
     /// \param level lines of a lower level are discarded.
     static void setLevel(LogLevel level);
 
-    /// \brief Passes lines to \a sink instead of standard error. An empty sink restores the default.
-    /// For tests and LogWriter.
+    /// \brief Passes lines to \a sink instead of standard error. An empty sink restores standard
+    /// error.
     static void setSink(Sink sink);
 
     /// \param event short name of the event in snake_case. Operators' tools match it.
--- a/src/Base/ReplicaRecord.h
+++ b/src/Base/ReplicaRecord.h
@@ -29,7 +29,8 @@
     /// How long it stays cold, counted from when its entry was read. A cold replica handles only a
     /// few requests per second and crashes above that rate.
     Duration coldFor = Duration::zero();
-    TimePoint coldUntil = {}; ///< End of the cold state by this process's clock; set by the registry.
+    /// End of the cold state by this process's clock, set by ReplicaRegistry.
+    TimePoint coldUntil = {};
 
     /// \returns an identifier of this start of the replica, distinct from other starts with the
     /// same id. Request counts, health and cached prompts belong to an incarnation; the platform
@@ -39,7 +40,8 @@
         return startedAt == 0 ? id : id + '~' + std::to_string(startedAt % IncarnationPeriod);
     }
 
-    /// \returns \a ms, the time for which a replica reports that it stays cold, but at most an hour.
+    /// \returns \a ms as a duration, limited to one hour. \a ms is the time for which a replica
+    /// reports that it stays cold.
     static Duration coldTime(double ms)
     {
         constexpr double MaxMs = 3'600'000;
--- a/test/InventoryParserTest.cpp
+++ b/test/InventoryParserTest.cpp
@@ -88,7 +88,7 @@
     CHECK(parser.entriesRead() == 0);
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_duplicateName_reportsSameProblemsAsFullParser")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_duplicateName_reportsFullParserProblems")
 {
     engines[4] = engineEntry(6, 99);
     checkSame();
@@ -104,7 +104,7 @@
     CHECK(problems.size() == 20);
 }
 
-TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_yamlNotSplitByLines_agreesWithFullParser")
+TEST_CASE_FIXTURE(ParsedInventoryFixture, "inventoryParser_yamlBeyondLines_agreesWithFullParser")
 {
     // Anchors, block scalars, quoted text over several lines, a document marker, unusual
     // indentation, lists in flow style and malformed texts. The full parser decides what is valid.
--- a/test/RequestTraceTest.cpp
+++ b/test/RequestTraceTest.cpp
@@ -98,7 +98,7 @@
 
 // Guards against a trace that does not show which crashes led to the quarantine of a request. The
 // crashes are logged under the ids of other requests with the same content.
-TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_quarantinedRequest_showsCrashesWithSameContent")
+TEST_CASE_FIXTURE(RequestTraceFixture, "requestTrace_quarantinedRequest_showsMatchingCrashes")
 {
     const auto ended = [](std::string_view id, std::string_view fingerprint,
                           std::string_view replica) {
