--- a/src/Control/Control.h
+++ b/src/Control/Control.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Module Control: the state that routers share, without sockets.
+/// \brief Module Control: the state that routers share. It uses no sockets.
 
 #include "Control/ConfigManager.h" // IWYU pragma: export
 #include "Control/EngineClient.h" // IWYU pragma: export
