--- a/src/Base/EntrySettings.h
+++ b/src/Base/EntrySettings.h
@@ -28,25 +28,25 @@
 
     /// Longest age of the proof that the active configuration is the newest. With an older proof
     /// no API key is accepted, so a revoked key cannot be used for longer than this.
-    Duration keyProofLimit = std::chrono::seconds(5);
+    Duration maxKeyProofAge = std::chrono::seconds(5);
     bool requiresKeyProof = true;
-    Duration configApplyLimit = std::chrono::seconds(2); ///< Longest time to apply a change.
+    Duration configApplyTimeout = std::chrono::seconds(2); ///< Longest time to apply a change.
 
-    double repeatShare = 0.2; ///< Retries allowed per request, over all routers.
-    double repeatSlack = 0; ///< Additional retries per window, over all routers.
-    Duration repeatWindow = std::chrono::seconds(10);
+    double fleetRetryShare = 0.2; ///< Retries allowed per request, over all routers.
+    double fleetRetrySlack = 0; ///< Additional retries per window, over all routers.
+    Duration fleetRetryWindow = std::chrono::seconds(10);
 
     Duration addressLifetime = std::chrono::seconds(2); ///< How long callers cache an address.
-    Duration stopLimit = std::chrono::seconds(8); ///< From SIGTERM until the process is killed.
+    Duration stopTimeout = std::chrono::seconds(8); ///< From SIGTERM until the process is killed.
     /// Longest time for which a replica may still get requests after it reported that it leaves.
-    Duration replicaDrainLimit = std::chrono::seconds(2);
+    Duration replicaDrainTimeout = std::chrono::seconds(2);
     /// Rate limit of a cold replica in requests per second, over all routers: this factor times the
     /// rate that its service states, plus the slack.
-    double coldFactor = 1;
-    double coldSlack = 0;
+    double coldRateFactor = 1;
+    double coldRateSlack = 0;
     std::map<std::string, std::string> regions = {}; ///< By failure domain.
     /// Time that replicas have to register again after a store outage. \sa ReplicaRegistry
-    Duration replicaReturnTime = std::chrono::milliseconds(2200);
+    Duration replicaReregistrationTime = std::chrono::milliseconds(2200);
 
     Mechanisms mechanisms = {};
 
@@ -60,14 +60,14 @@
     std::string regionOf(const std::string &domain) const;
 
     /// \brief Names of the settings that differ in a new settings file.
-    struct Adjusted
+    struct UpdateResult
     {
         std::vector<std::string> changed = {}; ///< Active now.
         std::vector<std::string> needsRestart = {}; ///< Not applied.
     };
 
     /// \brief Applies those settings of \a next that may change while the process runs.
-    Adjusted adjust(const EntrySettings &next);
+    UpdateResult updateFrom(const EntrySettings &next);
 
     /// \brief Parses and validates \a text and adds every error to \a problems.
     /// \returns null if there was an error.
--- a/src/Base/FleetStore.h
+++ b/src/Base/FleetStore.h
@@ -25,9 +25,9 @@
     std::uint64_t storeVersion = 0; ///< Version from which to continue to watch.
     RouteConfigPtr config = {}; ///< Null if it did not change.
     bool historyLost = false; ///< The store dropped the changes since; a full read is needed.
-    /// All evacuations if \a isWhole is set, else only the changed ones.
+    /// All evacuations if \a isComplete is set, else only the changed ones.
     std::vector<DomainEvacuation> evacuations = {};
-    bool isWhole = false; ///< The result contains everything that is in the store.
+    bool isComplete = false; ///< The result contains everything that is in the store.
 };
 
 /// \brief The part of the platform's store that operators and replicas write to.
--- a/src/Base/Mechanisms.h
+++ b/src/Base/Mechanisms.h
@@ -9,10 +9,11 @@
     /// Sends a prompt to an engine that caches it, not to the one with the fewest requests.
     bool promptPlacement = true;
     bool promptCopies = true; ///< Copies a cached prompt when its requests move to another engine.
-    bool promptNews = true; ///< Announces to other routers which engine got a prompt.
-    bool promptSurvey = true; ///< Asks engines after the start which prompts they cache.
-    bool promptPace = true; ///< Extends the timeout of an engine that reads a long prompt.
-    bool toldEjections = true; ///< Sends nothing to replicas that several other routers ejected.
+    bool promptAnnouncements = true; ///< Announces to other routers which engine got a prompt.
+    bool promptDiscovery = true; ///< Asks engines after the start which prompts they cache.
+    bool prefillTimeouts = true; ///< Extends the timeout of an engine that reads a long prompt.
+    bool announcedEjections =
+            true; ///< Sends nothing to replicas that several other routers ejected.
     bool loadShedding = true; ///< Refuses a share of the calls of an overloaded service at once.
     bool requestQuarantine = true; ///< Holds back requests that crash replicas.
 
--- a/src/Base/ReplicaRecord.h
+++ b/src/Base/ReplicaRecord.h
@@ -28,7 +28,7 @@
     std::int64_t startedAt = 0; ///< Unix time of its start in milliseconds; 0: not reported.
     /// How long it stays cold, counted from when its entry was read. A cold replica handles only a
     /// few requests per second and crashes above that rate.
-    Duration coldFor = Duration::zero();
+    Duration coldDuration = Duration::zero();
     /// End of the cold state by this process's clock, set by ReplicaRegistry.
     TimePoint coldUntil = {};
 
@@ -42,7 +42,7 @@
 
     /// \returns \a ms as a duration, limited to one hour. \a ms is the time for which a replica
     /// reports that it stays cold.
-    static Duration coldTime(double ms)
+    static Duration coldDurationFromMs(double ms)
     {
         constexpr double MaxMs = 3'600'000;
         return fromSeconds(ms > 0 ? std::min(ms, MaxMs) / 1000 : 0);
--- a/src/Base/RequestTrace.h
+++ b/src/Base/RequestTrace.h
@@ -19,7 +19,7 @@
 
     /// \returns the events of the request in order of time, the state changes that routers logged
     /// about its replicas, and the cause of its end.
-    std::string account() const;
+    std::string summary() const;
 
     /// \returns whether a line contains the request's id.
     bool isKnown() const { return !m_events.empty(); }
@@ -40,12 +40,12 @@
     };
 
     void addLine(std::string_view line);
-    std::vector<Event> relatedBeliefs() const;
+    std::vector<Event> relatedReplicaEvents() const;
     std::vector<Event> relatedCrashes() const;
 
     std::string m_requestId;
     std::vector<Event> m_events; ///< Events of the request.
-    std::vector<Event> m_beliefs; ///< State changes of replicas that routers logged.
+    std::vector<Event> m_replicaEvents; ///< State changes of replicas that routers logged.
     std::vector<Event> m_crashes; ///< Crashes of replicas while they worked on a request.
     std::size_t m_skipped = 0;
 };
--- a/src/Cli/internal/Tools.h
+++ b/src/Cli/internal/Tools.h
@@ -16,7 +16,7 @@
 std::optional<std::string> readArgument(const char *path);
 
 /// \brief Sends \a call and blocks until it is answered or failed.
-Result<HttpAnswer> fetchNow(HttpCall call);
+Result<HttpAnswer> fetchBlocking(HttpCall call);
 
 /// \brief Requests the JSON object at \a target from a router, as an operator.
 Result<Json::Value> fetchJson(const std::string &target);
@@ -29,6 +29,6 @@
 HttpHeaders authorization();
 
 /// \brief Prints the program's name and \a text to standard error.
-void complain(const std::string &text);
+void printError(const std::string &text);
 
 } // namespace catkinloft::internal
--- a/standin/DelayLine.h
+++ b/standin/DelayLine.h
@@ -14,7 +14,7 @@
 class DelayLine
 {
 public:
-    struct Piece
+    struct Chunk
     {
         TimePoint due = {}; ///< Never earlier than that of the piece before.
         std::string bytes = {};
@@ -31,16 +31,16 @@
     void end(Duration delay) { push({.isEnd = true}, delay); }
 
     /// \returns what is due by now, in order; it is held no more.
-    std::vector<Piece> takeDue();
+    std::vector<Chunk> takeDue();
 
     /// \returns when the next piece is due; nothing where none is held.
     std::optional<TimePoint> nextDue() const;
 
 private:
-    void push(Piece piece, Duration delay);
+    void push(Chunk piece, Duration delay);
 
     const Clock &m_clock;
-    std::deque<Piece> m_held;
+    std::deque<Chunk> m_queue;
 };
 
 } // namespace catkinloft::standin
--- a/standin/Generation.h
+++ b/standin/Generation.h
@@ -18,7 +18,7 @@
     double cachedTokens = 0;
 
     /// \brief Sends what follows token number \a after to \a exchange from now on.
-    void follow(HttpExchangePtr exchange, int after);
+    void resume(HttpExchangePtr exchange, int after);
 
     /// \brief Adds one token.
     /// \returns false where there are no more.
@@ -32,7 +32,7 @@
 
 private:
     void sendPending();
-    std::string wholeAnswer() const;
+    std::string answerBody() const;
 
     EngineRequest m_request;
     HttpExchangePtr m_exchange;
--- a/standin/PlatformStandin.h
+++ b/standin/PlatformStandin.h
@@ -44,7 +44,7 @@
 
     /// \brief Takes an exchange that is to wait, and deliver()s its answer later.
     /// \returns false for one that is answered at once.
-    virtual bool hold(const HttpExchangePtr &) { return false; }
+    virtual bool defer(const HttpExchangePtr &) { return false; }
 
     /// \brief Sends \a answer as the faults that are set allow.
     void deliver(const HttpExchangePtr &exchange, const Answer &answer);
--- a/standin/fleet/Caller.cpp
+++ b/standin/fleet/Caller.cpp
@@ -12,13 +12,13 @@
 
 constexpr Duration FirstBackoff = std::chrono::milliseconds(100);
 /// The router is given the time first, so that its reason arrives before the caller gives up.
-constexpr Duration Grace = std::chrono::milliseconds(500);
+constexpr Duration ClientTimeoutMargin = std::chrono::milliseconds(500);
 
 constexpr Duration MaxBackoff = std::chrono::seconds(1);
 
 bool isChat(RequestShape shape)
 {
-    return shape == RequestShape::StreamedChat || shape == RequestShape::WholeChat;
+    return shape == RequestShape::StreamedChat || shape == RequestShape::NonStreamedChat;
 }
 
 Json::Value parseBody(const HttpAnswer &answer)
@@ -50,7 +50,7 @@
         return;
     }
     m_attempt = 0;
-    m_lastExplained = false;
+    m_lastAttemptExplained = false;
     m_operation = fmt::format("{}-{}", m_options.name, m_request++);
     m_started = m_context.loop.now();
     m_expected = {
@@ -62,7 +62,7 @@
                                              static_cast<std::uint64_t>(m_context.maxTokens)))};
     ++m_context.report.requests;
     if (m_options.shape == RequestShape::NonIdempotentCall)
-        m_context.onceOnly.insert(m_operation);
+        m_context.nonIdempotentOperations.insert(m_operation);
     attempt();
 }
 
@@ -71,10 +71,10 @@
     if (m_context.loop.now() < m_addressUntil)
         send();
     else
-        askWhere();
+        resolveAddress();
 }
 
-void Caller::askWhere()
+void Caller::resolveAddress()
 {
     const std::size_t i = below(m_context.random, m_context.fleet.deployment().routers);
     m_context.client.fetch(
@@ -118,7 +118,7 @@
             .headers = {{"Authorization", "Bearer " + Fleet::workspaceKey(m_options.workspace)},
                         {"X-Request-Id", m_requestId},
                         {"X-Request-Timeout-Ms", fmt::format("{}", deadline)}},
-            .timeout = m_context.answerTimeout + Grace};
+            .timeout = m_context.answerTimeout + ClientTimeoutMargin};
     if (m_expected.chat) {
         call.headers.emplace_back("X-Chat-Id", m_options.name);
         call.body = chatBody();
@@ -146,7 +146,7 @@
     if (!answer) {
         // The router or the way to it has gone: another address, and the same operation.
         m_addressUntil = {};
-        m_lastExplained = false;
+        m_lastAttemptExplained = false;
         retry(FirstBackoff, true);
     } else if (answer.value().head.status == 200) {
         succeeded(answer.value());
@@ -165,9 +165,9 @@
         m_context.answeredOperations.insert(m_operation);
     } else {
         ++(fault == AnswerFault::Crossed ? report.crossed : report.truncated);
-        report.note(fmt::format("{} {} got: {}",
-                                fault == AnswerFault::Crossed ? "crossed" : "truncated",
-                                m_requestId, answer.body.substr(0, 300)));
+        report.addNote(fmt::format("{} {} got: {}",
+                                   fault == AnswerFault::Crossed ? "crossed" : "truncated",
+                                   m_requestId, answer.body.substr(0, 300)));
     }
     finishRequest();
 }
@@ -178,32 +178,32 @@
     const std::string reason = problem["reason"].isString() ? problem["reason"].asString() : "";
     const std::string verdict = problem["verdict"].isString() ? problem["verdict"].asString() : "";
     ++m_context.report.reasons[reason];
-    m_lastExplained = !reason.empty() && !verdict.empty();
-    if (!m_lastExplained) {
+    m_lastAttemptExplained = !reason.empty() && !verdict.empty();
+    if (!m_lastAttemptExplained) {
         ++m_context.report.unexplained;
-        m_context.report.note(fmt::format("unexplained {} {}: {}", m_requestId, answer.head.status,
-                                          answer.body.substr(0, 200)));
+        m_context.report.addNote(fmt::format("unexplained {} {}: {}", m_requestId,
+                                             answer.head.status, answer.body.substr(0, 200)));
     }
     if (verdict == "not_run")
-        m_context.toldNotRun.insert(m_requestId);
+        m_context.reportedNotRun.insert(m_requestId);
     if (reason == "draining" || reason == "not_ready")
         m_addressUntil = {};
     // One operation is repeated under one idempotency key; the unknown outcome is final.
     retry(MaxBackoff, reason != "outcome_unknown");
 }
 
-void Caller::retry(Duration delay, bool repeatable)
+void Caller::retry(Duration delay, bool retryable)
 {
-    if (repeatable && m_context.loop.now() - m_started < m_context.patience) {
+    if (retryable && m_context.loop.now() - m_started < m_context.requestTimeout) {
         const Duration wait = std::min(delay, FirstBackoff * (1 << std::min(m_attempt, 3)));
         m_context.loop.after(wait, [self = shared_from_this()] { self->attempt(); });
         return;
     }
-    if (m_lastExplained) {
+    if (m_lastAttemptExplained) {
         ++m_context.report.refused;
     } else {
         ++m_context.report.lost;
-        m_context.report.note(fmt::format("lost {}: no answer", m_requestId));
+        m_context.report.addNote(fmt::format("lost {}: no answer", m_requestId));
     }
     finishRequest();
 }
--- a/standin/fleet/EntryFleet.h
+++ b/standin/fleet/EntryFleet.h
@@ -60,11 +60,12 @@
     /// \brief Starts replica \a i anew, with a new id, and registers it.
     void restartReplica(std::size_t i);
 
-    /// \returns whether replica \a i has ended by itself, and that was seen at least \a away ago.
-    bool hasEnded(std::size_t i, Duration away);
+    /// \returns whether replica \a i has ended by itself, and that was seen at least \a minDowntime
+    /// ago.
+    bool hasExited(std::size_t i, Duration minDowntime);
 
-    /// \brief Starts the replicas anew that have ended by themselves at least \a away ago.
-    void restartEndedReplicas(Duration away);
+    /// \brief Starts the replicas anew that have ended by themselves at least \a minDowntime ago.
+    void restartExitedReplicas(Duration minDowntime);
 
     /// \brief Writes the entry of replica \a i, or removes it. \param cold how long it stays cold.
     void registerReplica(std::size_t i, const std::string &state, Duration cold = Duration::zero());
@@ -80,8 +81,8 @@
 
     /// \brief Sets faults, a JSON object, at the proxy before replica \a i, or at the proxy between
     /// router \a i and the store.
-    void strikeReplica(std::size_t i, const std::string &faults);
-    void strikeStorePath(std::size_t i, const std::string &faults);
+    void setReplicaProxyFaults(std::size_t i, const std::string &faults);
+    void setStoreProxyFaults(std::size_t i, const std::string &faults);
 
     /// \brief Sets shares of failing requests at replica \a i.
     /// \returns false where the replica ended before it took them.
@@ -132,7 +133,7 @@
         std::string id;
         std::string address;
         int starts = 0;
-        std::optional<TimePoint> endedAt = {}; ///< When it was first seen not to run.
+        std::optional<TimePoint> exitedAt = {}; ///< When it was first seen not to run.
         Proxy proxy;
         std::unique_ptr<ChildProcess> process;
     };
@@ -142,7 +143,7 @@
     void startReplica(std::size_t i);
     void writeSettings(std::size_t i, const std::string &extra);
     void writeRow(const std::string &table, const std::string &key, const Json::Value &value);
-    static bool accepts(const std::string &address, const std::string &target,
+    static bool tryPost(const std::string &address, const std::string &target,
                         const std::string &body);
     static void post(const std::string &address, const std::string &target,
                      const std::string &body);
--- a/standin/fleet/Fleet.h
+++ b/standin/fleet/Fleet.h
@@ -70,10 +70,10 @@
     std::string inventory(const std::function<std::string(std::string)> &edit = {}) const;
 
     /// \returns where routers reach what listens at \a address: its proxy, if there is one.
-    std::string via(const std::string &address) const;
+    std::string proxiedAddress(const std::string &address) const;
 
     /// \brief Sets \a faults, a JSON object, at the proxy before \a address.
-    void strike(const std::string &address, const std::string &faults);
+    void setProxyFaults(const std::string &address, const std::string &faults);
 
     /// \brief Sets the mode of a platform role, with further members in \a more.
     void setPlatformMode(const std::string &role, const std::string &mode,
