--- a/src/Base/Mechanisms.h
+++ b/src/Base/Mechanisms.h
@@ -12,8 +12,8 @@
     bool promptAnnouncements = true; ///< Announces to other routers which engine got a prompt.
     bool promptDiscovery = true; ///< Asks engines after the start which prompts they cache.
     bool prefillTimeouts = true; ///< Extends the timeout of an engine that reads a long prompt.
-    bool announcedEjections =
-            true; ///< Sends nothing to replicas that several other routers ejected.
+    /// Sends nothing to replicas that several other routers ejected.
+    bool announcedEjections = true;
     bool loadShedding = true; ///< Refuses a share of the calls of an overloaded service at once.
     bool requestQuarantine = true; ///< Holds back requests that crash replicas.
 
--- a/src/Base/RequestTrace.h
+++ b/src/Base/RequestTrace.h
@@ -14,14 +14,14 @@
     explicit RequestTrace(std::string requestId) : m_requestId(std::move(requestId)) { }
 
     /// \brief Adds the lines of one log. Text before the JSON object of a line is ignored. Lines
-    /// without a JSON object are counted by skippedLines().
+    /// that are not valid log lines are counted by skippedLines().
     void addLog(std::string_view text);
 
     /// \returns the events of the request in order of time, the state changes that routers logged
     /// about its replicas, and the cause of its end.
     std::string summary() const;
 
-    /// \returns whether a line contains the request's id.
+    /// \returns whether the logs have a line about the request.
     bool isKnown() const { return !m_events.empty(); }
 
     std::size_t skippedLines() const { return m_skipped; }
