--- a/standin/DelayLine.h
+++ b/standin/DelayLine.h
@@ -9,31 +9,32 @@
 
 namespace catkinloft::standin {
 
-/// \brief One direction of a connection with a delay: bytes and the end leave in the order in which
-/// they came, whatever the delay of each is. Knows no sockets.
+/// \brief Delays the bytes of one direction of a connection. Bytes and the end of the stream leave
+/// in the order in which they were added, even if their delays differ. Does no socket I/O.
 class DelayLine
 {
 public:
     struct Piece
     {
-        TimePoint due = {}; ///< Never earlier than that of the piece before.
+        TimePoint due = {}; ///< Never earlier than that of the preceding chunk.
         std::string bytes = {};
-        bool isEnd = false; ///< The sender closed the connection behind the bytes.
+        bool isEnd = false; ///< The sender closed the connection after the bytes.
     };
 
-    /// \param clock must live as long as this.
+    /// \param clock must outlive this object.
     explicit DelayLine(const Clock &clock) : m_clock(clock) { }
 
-    /// \brief Holds \a bytes for \a delay, and until all that came before has left.
+    /// \brief Queues \a bytes for \a delay, and at least until all preceding chunks have left.
     void add(std::string bytes, Duration delay) { push({.bytes = std::move(bytes)}, delay); }
 
-    /// \brief Holds the end of the connection likewise.
+    /// \brief Queues the end of the stream in the same way.
     void end(Duration delay) { push({.isEnd = true}, delay); }
 
-    /// \returns what is due by now, in order; it is held no more.
+    /// \brief Removes the chunks that are due.
+    /// \returns them in order.
     std::vector<Piece> takeDue();
 
-    /// \returns when the next piece is due; nothing where none is held.
+    /// \returns when the next chunk is due, or nothing if the queue is empty.
     std::optional<TimePoint> nextDue() const;
 
 private:
--- a/standin/EngineOrders.h
+++ b/standin/EngineOrders.h
@@ -8,21 +8,21 @@
 
 namespace catkinloft::standin {
 
-/// \brief What an engine has been ordered to run. It may or may not refuse an order whose fencing
-/// number is older than one it has seen.
+/// \brief Applies orders to an engine and holds the resulting state: model, version, adapters and
+/// role. Optionally refuses orders whose fencing number is lower than the highest one applied.
 class EngineOrders
 {
 public:
-    /// \param checksFencing whether old fencing numbers are refused.
+    /// \param checksFencing whether orders with an outdated fencing number are refused.
     EngineOrders(bool checksFencing, const std::string &model);
 
-    /// \brief Answers an order.
+    /// \brief Applies the order in the body of \a exchange and answers it.
     void order(const HttpExchangePtr &exchange);
 
-    /// \returns what the engine runs now.
+    /// \returns what the engine runs now, and the highest fencing number applied.
     Json::Value state() const;
 
-    /// \returns every order in its sequence of arrival and whether it was applied.
+    /// \returns all orders in order of arrival, each with whether it was applied.
     const Json::Value &history() const { return m_history; }
 
 private:
@@ -31,7 +31,8 @@
     bool m_checksFencing;
     Json::Value m_state;
     std::uint64_t m_fence = 0;
-    std::set<std::string> m_applied; ///< Ids of orders; a repeated one has no second effect.
+    std::set<std::string>
+            m_applied; ///< Ids of applied orders; a repeated order has no second effect.
     Json::Value m_history{Json::arrayValue};
 };
 
--- a/standin/EngineStandin.cpp
+++ b/standin/EngineStandin.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How long a stream can be taken up again after its last token.
+/// Time after the last token in which a stream can still be resumed.
 constexpr Duration StreamLifetime = std::chrono::seconds(30);
 
 constexpr std::string_view StreamPrefix = "/v1/streams/";
@@ -77,7 +77,7 @@
     const std::optional<EngineRequest> request = EngineRequest::parse(*exchange);
     if (!request) {
         Json::Value out;
-        out["error"] = "no chat request";
+        out["error"] = "the body is not a chat request";
         respondJson(*exchange, 400, out);
         return;
     }
--- a/standin/EngineStandin.h
+++ b/standin/EngineStandin.h
@@ -11,8 +11,9 @@
 
 namespace catkinloft::standin {
 
-/// \brief A model engine: batches up to a number of requests, reads prompts and generates tokens
-/// at fixed rates, and keeps the prefixes of recent chats in limited memory.
+/// \brief Simulates a model engine: processes a limited number of requests in a batch, prefills
+/// prompts at a fixed rate, generates tokens more slowly the fuller the batch is, and caches the
+/// prefixes of recent chats up to a capacity.
 class EngineStandin final : public Standin
 {
 public:
@@ -20,16 +21,17 @@
     {
         EventLoop &loop;
         std::string name;
-        std::string model; ///< What it runs until it is ordered otherwise.
-        int slots = 32; ///< Requests in one batch; more wait.
-        double prefillRate = 20'000; ///< Prompt tokens read a second.
-        Duration tokenTime = std::chrono::milliseconds(5); ///< Between two tokens, alone.
-        double batchSlowdown = 0.5; ///< Share by which a full batch makes a token slower.
-        double cacheTokens = 400'000; ///< Prompt tokens kept.
-        Duration eventLag = std::chrono::milliseconds(500); ///< Until a cache event shows.
-        Duration loadLag = std::chrono::milliseconds(200); ///< Longest age of a load report.
-        bool checksFencing = false; ///< Refuses orders with an old fencing number.
-        std::string recordFile = {}; ///< Executions are added to it; empty: nowhere.
+        std::string model; ///< Model at start; an order may change it.
+        int slots = 32; ///< Requests in a batch; further ones wait.
+        double prefillRate = 20'000; ///< Prompt tokens per second.
+        Duration tokenTime =
+                std::chrono::milliseconds(5); ///< Between two tokens in an empty batch.
+        double batchSlowdown = 0.5; ///< Relative increase of tokenTime in a full batch.
+        double cacheTokens = 400'000; ///< Capacity of the prefix cache.
+        Duration eventLag = std::chrono::milliseconds(500); ///< Until a cache event is visible.
+        Duration loadLag = std::chrono::milliseconds(200); ///< Maximum age of a load report.
+        bool checksFencing = false; ///< Refuses orders with an outdated fencing number.
+        std::string recordFile = {}; ///< Executions are appended to it; empty: none.
     };
 
     explicit EngineStandin(Options options);
@@ -56,7 +58,7 @@
     PrefixCache m_cache;
     EngineOrders m_orders;
     std::multimap<int, GenerationPtr> m_waiting; ///< By priority, then arrival.
-    std::unordered_map<std::string, GenerationPtr> m_streams; ///< The latest by request id.
+    std::unordered_map<std::string, GenerationPtr> m_streams; ///< Latest generation by request id.
     int m_running = 0;
     double m_runningTokens = 0;
     Json::Value m_load;
--- a/standin/ExecutionRecord.cpp
+++ b/standin/ExecutionRecord.cpp
@@ -12,7 +12,7 @@
 
 void ExecutionRecord::add(const Json::Value &execution)
 {
-    // Flushed each time, since the process may be killed at any moment.
+    // Flushed after each record, since tests kill the process at any time.
     if (m_out.is_open())
         m_out << printJson(execution) + "\n" << std::flush;
 }
--- a/standin/ExecutionRecord.h
+++ b/standin/ExecutionRecord.h
@@ -7,11 +7,12 @@
 
 namespace catkinloft::standin {
 
-/// \brief What a stand-in executed, one JSON line each, in a file that outlives its process.
+/// \brief Appends the executions of a stand-in to a file, one JSON object per line. The file
+/// remains when the process terminates.
 class ExecutionRecord
 {
 public:
-    /// \param file empty: nothing is recorded.
+    /// \param file path; nothing is recorded if it is empty.
     explicit ExecutionRecord(const std::string &file);
 
     void add(const Json::Value &execution);
--- a/standin/FaultProxy.cpp
+++ b/standin/FaultProxy.cpp
@@ -25,7 +25,7 @@
             this, LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, -1,
             reinterpret_cast<const sockaddr *>(&address), sizeof address);
     if (!m_listener)
-        throw std::runtime_error("can not listen on " + m_options.listen);
+        throw std::runtime_error("cannot listen on TCP address " + m_options.listen);
 }
 
 FaultProxy::~FaultProxy()
--- a/standin/FaultProxy.h
+++ b/standin/FaultProxy.h
@@ -11,8 +11,8 @@
 
 namespace catkinloft::standin {
 
-/// \brief Stands between two ends, passes TCP connections and UDP datagrams on and brings about
-/// what goes wrong on the way. Driven over HTTP at an address of its own.
+/// \brief Forwards TCP connections and UDP datagrams to a target and injects network faults. It is
+/// controlled by HTTP requests at a separate address.
 class FaultProxy final : public Standin
 {
 public:
@@ -28,7 +28,8 @@
     FaultProxy(const FaultProxy &) = delete;
     FaultProxy &operator=(const FaultProxy &) = delete;
 
-    /// \brief Answers `POST /v1/faults` and `GET /v1/faults`.
+    /// \brief Answers `POST /v1/faults`, which sets faults, and `GET /v1/faults`, which reports the
+    /// state of the proxy.
     void handle(const HttpExchangePtr &exchange) override;
 
 private:
--- a/standin/Generation.cpp
+++ b/standin/Generation.cpp
@@ -14,7 +14,7 @@
 
 void Generation::follow(HttpExchangePtr exchange, int after)
 {
-    // One connection at a time: the one before may be silent without the engine knowing.
+    // Only one connection is served: the previous one may be dead without the engine noticing.
     m_exchange->abort();
     m_exchange = std::move(exchange);
     m_sent = std::max(0, after + 1);
--- a/standin/Generation.h
+++ b/standin/Generation.h
@@ -7,8 +7,8 @@
 
 namespace catkinloft::standin {
 
-/// \brief One answer that an engine generates. It goes on without its caller, and a later
-/// connection may take it over from any token.
+/// \brief One answer that an engine generates. Generation continues when the caller disconnects,
+/// and a later connection may resume the answer from any token.
 class Generation
 {
 public:
@@ -17,14 +17,16 @@
     const EngineRequest &request() const { return m_request; }
     double cachedTokens = 0;
 
-    /// \brief Sends what follows token number \a after to \a exchange from now on.
+    /// \brief Sends the tokens that follow number \a after to \a exchange, and closes the previous
+    /// connection.
     void follow(HttpExchangePtr exchange, int after);
 
-    /// \brief Adds one token.
-    /// \returns false where there are no more.
+    /// \brief Generates one token.
+    /// \returns false if all tokens were generated or the generation was cancelled.
     bool produce();
 
-    /// \brief Sends the rest and the end marker, or the whole answer.
+    /// \brief Sends the remaining tokens and the end marker of a stream, or the complete answer of
+    /// a request that is not streamed. Closes the connection of a cancelled generation.
     void complete();
 
     void cancel() { m_cancelled = true; }
@@ -37,7 +39,7 @@
     EngineRequest m_request;
     HttpExchangePtr m_exchange;
     int m_produced = 0;
-    int m_sent = 0; ///< Tokens sent on the connection at hand.
+    int m_sent = 0; ///< Number of the next token to send on the current connection.
     bool m_cancelled = false;
     bool m_complete = false;
 };
--- a/standin/ObjectStandin.h
+++ b/standin/ObjectStandin.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief The platform's object store: whole values by name.
+/// \brief Simulates the platform's object store, which maps names to values.
 class ObjectStandin final : public PlatformStandin
 {
 public:
--- a/standin/PlatformStandin.h
+++ b/standin/PlatformStandin.h
@@ -8,8 +8,8 @@
 
 namespace catkinloft::standin {
 
-/// \brief A service of the platform: limits the rate of reads and writes, can be made to fail by
-/// `POST /v1/control` and counts by `GET /v1/counters`.
+/// \brief Base of the stand-ins for services of the platform. Limits the rates of reads and writes,
+/// injects the faults set by `POST /v1/control` and reports counters at `GET /v1/counters`.
 class PlatformStandin : public Standin
 {
 public:
@@ -36,17 +36,18 @@
 
     virtual bool isWrite(const HttpExchange &exchange) const = 0;
 
-    /// \brief Takes effect at once; whether the caller gets to see the answer is another matter.
+    /// \brief Executes the request at once.
+    /// \returns the answer, which faults may delay or drop.
     virtual Answer answer(const HttpExchange &exchange) = 0;
 
-    /// \returns whether \a exchange comes from somebody whom no fault concerns.
+    /// \returns whether faults and rate limits do not apply to the exchange.
     virtual bool isExempt(const HttpExchange &) const { return false; }
 
-    /// \brief Takes an exchange that is to wait, and deliver()s its answer later.
-    /// \returns false for one that is answered at once.
+    /// \brief Keeps an exchange that has to wait, and passes its answer to deliver() later.
+    /// \returns false if the exchange is to be answered at once.
     virtual bool hold(const HttpExchangePtr &) { return false; }
 
-    /// \brief Sends \a answer as the faults that are set allow.
+    /// \brief Sends \a answer, or delays or drops it according to the current mode.
     void deliver(const HttpExchangePtr &exchange, const Answer &answer);
 
     EventLoop &loop() const { return m_options.loop; }
@@ -54,12 +55,12 @@
 private:
     enum class Mode {
         Up,
-        Down, ///< Breaks every connection; nothing takes effect.
-        Slow, ///< Takes effect at once and answers late.
-        LoseAnswers, ///< Takes effect and breaks the connection.
+        Down, ///< Closes every connection without executing the request.
+        Slow, ///< Executes the request at once and delays the answer.
+        LoseAnswers, ///< Executes the request and closes the connection.
     };
 
-    /// Requests of one kind in the second at hand.
+    /// Limit and use of one kind of requests in the current second.
     struct Rate
     {
         double limit = 0;
--- a/standin/PrefixCache.cpp
+++ b/standin/PrefixCache.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Older events are gone, as with a real engine whose ring was overrun.
+/// Older events are dropped, as when the ring buffer of a real engine overflows.
 constexpr std::size_t MaxEvents = 4096;
 
 } // namespace
--- a/standin/PrefixCache.h
+++ b/standin/PrefixCache.h
@@ -12,29 +12,29 @@
 
 namespace catkinloft::standin {
 
-/// \brief An engine's prompt prefixes in limited memory, the least recently used one evicted
-/// first, and the events that tell of them: late, and some missing.
+/// \brief LRU cache of an engine's prompt prefixes, and the log of its store and evict events. As
+/// with real engines, events become visible late and some are missing.
 class PrefixCache
 {
 public:
     struct Options
     {
         const Clock &clock;
-        double capacity = 400'000; ///< Prompt tokens kept.
+        double capacity = 400'000; ///< In prompt tokens.
         Duration eventLag = std::chrono::milliseconds(500);
-        int gapEvery = 10; ///< Every so many events one is never shown; 0: none.
+        int gapEvery = 10; ///< Every gapEvery-th event is lost; 0: none.
     };
 
     explicit PrefixCache(Options options) : m_options(options) { }
 
-    /// \brief Notes a prompt of \a chat.
-    /// \returns its tokens that were kept already.
+    /// \brief Stores a prompt of \a chat with \a tokens, and evicts other chats beyond the
+    /// capacity. \returns how many of its tokens were already cached.
     double use(const std::string &chat, double tokens);
 
-    /// \returns tokens kept of \a chat.
+    /// \returns the cached tokens of \a chat.
     double tokensOf(const std::string &chat) const;
 
-    /// \returns the events after number \a after that are due to be seen.
+    /// \returns the visible events with a number above \a after.
     Json::Value events(std::uint64_t after) const;
 
 private:
--- a/standin/ReplicaStandin.cpp
+++ b/standin/ReplicaStandin.cpp
@@ -70,7 +70,7 @@
     if (exchange->body() == FatalBody || isAboveColdPace())
         return endProcess(exchange);
     if (happens("hang")) {
-        // The caller's end ends the wait.
+        // The callback holds the exchange open until the caller closes the connection.
         exchange->onClosed([held = exchange] {});
         return;
     }
@@ -86,7 +86,7 @@
 {
     if (!exchange->queryValue("events").empty())
         exchange->beginStream(200, headersOf(*exchange, {}));
-    // The exchange is held: one that is let go is answered.
+    // The exchange is kept alive because destroying it would send an answer.
     m_options.loop.after(m_options.serviceTime, [held = exchange] { std::_Exit(EXIT_FAILURE); });
 }
 
@@ -102,7 +102,7 @@
 
 void ReplicaStandin::control(const HttpExchangePtr &exchange)
 {
-    // A process that leaves does not change its mind.
+    // A replica that is leaving stays so.
     std::erase_if(m_faults, [](const auto &it) { return it.first != "leaving"; });
     const Json::Value request = bodyObject(*exchange);
     for (const std::string &name : request.getMemberNames())
--- a/standin/ReplicaStandin.h
+++ b/standin/ReplicaStandin.h
@@ -8,15 +8,17 @@
 
 namespace catkinloft::standin {
 
-/// \brief Plays a replica of a service on the users' platform: calls, and streams of as
-/// many numbered events as the query parameter `events` says, which may be resumed. Keeps a record
-/// of what it ran.
+/// \brief Simulates a replica of a service on the users' platform. It answers calls, and streams as
+/// many numbered events as the query parameter `events` says; streams may be resumed. It records
+/// the requests that it received.
 ///
-/// `POST /v1/control` sets shares from 0 to 1 of requests: `fail` (runs and answers 500), `refuse`
-/// (does not run and says so), `lose` (runs and breaks the connection), `hang` (runs and never
-/// answers), `cut` (breaks a stream within an event). `leaving` above 0 has all answers say that it
-/// leaves, for good; `pause_ms` turns all requests away and asks for that pause. A request with
-/// FatalBody ends the process, and so does one above twice `cold_per_s` in a second.
+/// `POST /v1/control` sets the share, from 0 to 1, of requests with a fault: `fail` (executes and
+/// answers 500), `refuse` (answers that the request was not executed), `lose` (executes and closes
+/// the connection), `hang` (executes and never answers), `cut` (closes the connection within an
+/// event of a stream). If `leaving` is above 0, all answers announce from then on that the replica
+/// is leaving. If `pause_ms` is above 0, all requests are refused with this time in `Retry-After`.
+/// The process crashes on a request with FatalBody, and when it receives more than twice
+/// `cold_per_s` requests within a second.
 class ReplicaStandin final : public Standin
 {
 public:
@@ -42,7 +44,7 @@
         HttpExchangePtr exchange;
         int next = 1;
         int last = 0;
-        int cutAt = 0; ///< Event within which the connection is broken; 0: none.
+        int cutAt = 0; ///< Event within which the connection is closed; 0: none.
     };
 
     void control(const HttpExchangePtr &exchange);
@@ -61,7 +63,7 @@
     Options m_options;
     ExecutionRecord m_record;
     std::map<std::string, double> m_faults;
-    std::deque<TimePoint> m_arrivals; ///< Of the last second.
+    std::deque<TimePoint> m_arrivals; ///< Times of the requests of the last second.
     RandomSource m_random;
 };
 
--- a/standin/RowStoreStandin.cpp
+++ b/standin/RowStoreStandin.cpp
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-/// Rows in one answer, whatever the caller asks for.
+/// Maximum number of rows in an answer, even if the caller asks for more.
 constexpr std::uint64_t MaxRowsReturned = 500;
 
 constexpr Duration FeedTick = 10ms;
 
-/// Tables that only the operator and replicas write.
+/// Tables that only the operator and the replicas may write.
 const std::set<std::string> &protectedTables()
 {
     static const std::set<std::string> all = {"op", "servers"};
@@ -47,7 +47,7 @@
 
 bool RowStoreStandin::isExempt(const HttpExchange &exchange) const
 {
-    return exchange.path() == "/v1/operator"; // Operators go on writing in most outages.
+    return exchange.path() == "/v1/operator"; // Operators can still write in most outages.
 }
 
 bool RowStoreStandin::hold(const HttpExchangePtr &exchange)
--- a/standin/RowStoreStandin.h
+++ b/standin/RowStoreStandin.h
@@ -9,10 +9,10 @@
 
 namespace catkinloft::standin {
 
-/// \brief Plays the users' store: rows in tables, transactions under conditions, feeds of changes.
+/// \brief Simulates the users' store: rows in tables, conditional transactions and change feeds.
 ///
-/// Beyond PlatformStandin's faults, `POST /v1/control` with `forget_history` makes every feed from
-/// before answer 410, and `POST /v1/operator` writes rows that routers may not write.
+/// `POST /v1/operator` writes rows that routers may not write. With `forget_history` it discards
+/// the change history instead: feeds from an earlier version are answered with 410.
 class RowStoreStandin final : public PlatformStandin
 {
 public:
@@ -27,7 +27,7 @@
 private:
     struct Row
     {
-        std::string value; ///< Base64, as it travels.
+        std::string value; ///< Base64, as in requests and answers.
         std::uint64_t version = 0;
     };
     struct Change
@@ -56,7 +56,7 @@
     std::map<std::string, std::map<std::string, Row>> m_tables;
     std::deque<Change> m_history;
     std::uint64_t m_version = 100;
-    std::uint64_t m_oldest = 0; ///< Feeds from before it answer 410.
+    std::uint64_t m_oldest = 0; ///< Feeds from an earlier version are answered with 410.
     std::list<Waiting> m_waiting;
     Timer m_timer;
 };
--- a/standin/ServiceStandin.h
+++ b/standin/ServiceStandin.h
@@ -7,7 +7,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief A plain service that records every execution, so that doubled ones are seen.
+/// \brief Simulates a plain service. It records every execution so that duplicates are detected.
 class ServiceStandin final : public Standin
 {
 public:
@@ -15,10 +15,11 @@
     {
         EventLoop &loop;
         std::string name;
-        Duration serviceTime; ///< From the request to its answer.
-        int refuseEvery = 0; ///< Every so many calls get a 503 and do nothing; 0: none.
-        bool recorded = true; ///< Off for benches, which would fill the memory.
-        std::string recordFile = {}; ///< Executions are added to it; empty: nowhere.
+        Duration serviceTime; ///< From a request to its answer.
+        int refuseEvery =
+                0; ///< Every refuseEvery-th call is answered 503 and not executed; 0: none.
+        bool recorded = true; ///< False for benchmarks, whose records would fill the memory.
+        std::string recordFile = {}; ///< Executions are appended to it; empty: none.
     };
 
     explicit ServiceStandin(Options options);
--- a/standin/SocketAddress.h
+++ b/standin/SocketAddress.h
@@ -9,7 +9,7 @@
 
 namespace catkinloft::standin {
 
-/// \returns \a address, an `ip:port` of IPv4, for the system's calls.
+/// \returns the socket address of \a address, an IPv4 `ip:port`, or 127.0.0.1:0 if it is invalid.
 inline sockaddr_in socketAddress(const std::string &address)
 {
     const Endpoint endpoint = parseEndpoint(address).value_or(Endpoint{"127.0.0.1", 0});
--- a/standin/Standin.h
+++ b/standin/Standin.h
@@ -10,8 +10,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief One outside system played by this program; docs/INTERFACES.md has each one's HTTP
-/// interface.
+/// \brief Simulates one external system. docs/INTERFACES.md describes the HTTP interface of each.
 class Standin
 {
 public:
@@ -20,10 +19,10 @@
     virtual void handle(const HttpExchangePtr &exchange) = 0;
 };
 
-/// Body of a request that ends the process of a replica, as one does whose input it can't bear.
+/// Body of a request that makes a replica crash, as an input that triggers a fault in it would.
 inline constexpr std::string_view FatalBody = "fatal";
 
-/// \returns the object in the body; an empty one where it is none.
+/// \returns the JSON object in the body, or an empty one if the body is not a JSON object.
 Json::Value bodyObject(const HttpExchange &exchange);
 
 /// \brief Answers with \a value as JSON.
--- a/standin/TableStandin.h
+++ b/standin/TableStandin.h
@@ -4,7 +4,8 @@
 
 namespace catkinloft::standin {
 
-/// \brief The platform's transactional table service: rows with versions, compare-and-set.
+/// \brief Simulates the platform's transactional table service: versioned rows with
+/// compare-and-set.
 class TableStandin final : public PlatformStandin
 {
 public:
--- a/standin/TcpLink.cpp
+++ b/standin/TcpLink.cpp
@@ -18,7 +18,8 @@
         return;
     ev_token_bucket_cfg *cfg = ev_token_bucket_cfg_new(
             bytesPerSecond, bytesPerSecond, EV_RATE_LIMIT_MAX, EV_RATE_LIMIT_MAX, nullptr);
-    // The link holds the configuration for as long as the short-lived process runs.
+    // Never freed: libevent needs it as long as the bufferevent exists, and the process is
+    // short-lived.
     bufferevent_set_rate_limit(it, cfg);
 }
 
@@ -125,7 +126,7 @@
 
 void TcpLink::cutOnceWritten(const Direction &direction)
 {
-    // What was read before the end still has to reach the other side.
+    // Bytes that were read before the end still have to reach the other side.
     if (direction.ended && evbuffer_get_length(bufferevent_get_output(direction.to)) == 0)
         cut();
 }
--- a/standin/TcpLink.h
+++ b/standin/TcpLink.h
@@ -13,7 +13,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief One TCP connection through a FaultProxy, made of one to each end.
+/// \brief One TCP connection through a FaultProxy: the connections to the client and to the server.
 class TcpLink
 {
 public:
@@ -22,30 +22,30 @@
         EventLoop &loop;
         LinkFaults &faults;
         std::string target;
-        std::function<void(TcpLink *)> closed; ///< Called outside of the link's own callbacks.
+        std::function<void(TcpLink *)> closed; ///< Never called from a callback of the link.
     };
 
-    /// \param fd the accepted connection, owned from now on.
+    /// \param fd the accepted connection; the link takes ownership.
     TcpLink(Options options, int fd);
     ~TcpLink();
     TcpLink(const TcpLink &) = delete;
     TcpLink &operator=(const TcpLink &) = delete;
 
-    /// \brief Nothing passes any more, and neither end is told.
+    /// \brief Stops forwarding in both directions without closing either connection.
     void goSilent();
 
-    /// \brief Closes both ends.
+    /// \brief Closes both connections.
     void cut();
 
 private:
-    /// \brief Bytes through the link from one end to the other.
+    /// \brief One direction of the link.
     struct Direction
     {
         bufferevent *from;
         bufferevent *to;
         DelayLine line;
         Timer timer;
-        bool ended = false; ///< The sender closed; all that it sent has been released.
+        bool ended = false; ///< The sender closed its connection, and all its bytes were written.
     };
 
     static void onRead(bufferevent *from, void *arg);
--- a/standin/UdpRelay.cpp
+++ b/standin/UdpRelay.cpp
@@ -32,7 +32,7 @@
 {
     const sockaddr_in address = socketAddress(m_options.listen);
     if (bind(m_listening->fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0)
-        throw std::runtime_error("can not listen on " + m_options.listen);
+        throw std::runtime_error("cannot listen on UDP address " + m_options.listen);
 }
 
 UdpRelay::~UdpRelay() = default;
--- a/standin/UdpRelay.h
+++ b/standin/UdpRelay.h
@@ -17,8 +17,8 @@
 
 namespace catkinloft::standin {
 
-/// \brief Passes datagrams on, with a socket of its own for each sender so that answers find their
-/// way back.
+/// \brief Forwards datagrams to a target. Uses a separate socket for each sender, so that answers
+/// can be sent back to it.
 class UdpRelay
 {
 public:
@@ -41,7 +41,7 @@
         UdpRelay *owner = nullptr;
         int fd = -1;
         event *ev = nullptr;
-        sockaddr_in client{}; ///< Who answers go to; unused by the listening one.
+        sockaddr_in client{}; ///< Receives the answers; unused for the listening socket.
         ~Socket();
     };
 
--- a/standin/VmListStandin.h
+++ b/standin/VmListStandin.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief The platform's list of VMs. A change put in is shown only after a lag.
+/// \brief Simulates the platform's list of VMs. Changes become visible after a lag.
 class VmListStandin final : public Standin
 {
 public:
--- a/standin/WeightStandin.h
+++ b/standin/WeightStandin.h
@@ -4,7 +4,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief The rate-limited weight store: says what a version of a model consists of.
+/// \brief Simulates the rate-limited weight store, which describes the versions of models.
 class WeightStandin final : public PlatformStandin
 {
 public:
--- a/standin/fleet/AnswerCheck.h
+++ b/standin/fleet/AnswerCheck.h
@@ -6,14 +6,14 @@
 
 namespace catkinloft::standin {
 
-/// \brief What is wrong with an answer that was taken for a whole one.
+/// \brief Fault of an answer that was received as a complete one.
 enum class AnswerFault {
     None,
-    Crossed, ///< It belongs to another request.
-    Truncated, ///< Something is missing.
+    Crossed, ///< Belongs to another request.
+    Truncated, ///< A part is missing or differs.
 };
 
-/// \brief What the caller of one request expects to get.
+/// \brief The answer that the caller of a request expects.
 struct ExpectedAnswer
 {
     std::string operation; ///< Start of the last message, or the body of the call.
@@ -22,7 +22,7 @@
     int tokens = 0;
 };
 
-/// \returns what is wrong with \a answer, whose status is 200.
+/// \returns the fault of \a answer, whose status is 200.
 AnswerFault checkAnswer(const HttpAnswer &answer, const ExpectedAnswer &expected);
 
 } // namespace catkinloft::standin
--- a/standin/fleet/Caller.cpp
+++ b/standin/fleet/Caller.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr Duration FirstBackoff = std::chrono::milliseconds(100);
-/// The router is given the time first, so that its reason arrives before the caller gives up.
+/// The caller waits longer than the deadline it sends, so that it receives the reason when the
+/// router's deadline expires.
 constexpr Duration Grace = std::chrono::milliseconds(500);
 
 constexpr Duration MaxBackoff = std::chrono::seconds(1);
@@ -97,7 +98,7 @@
 
 std::string Caller::chatBody() const
 {
-    // A chat starts the same each time, so that its context counts.
+    // All requests of a chat start with the same message, so that they share a cached prefix.
     return fmt::format(R"({{"model":"{}","stream":{},"max_tokens":{},"messages":[)"
                        R"({{"role":"user","content":"start of {}"}},)"
                        R"({{"role":"user","content":"{}"}}]}})",
@@ -144,7 +145,8 @@
 void Caller::answered(const Result<HttpAnswer> &answer)
 {
     if (!answer) {
-        // The router or the way to it has gone: another address, and the same operation.
+        // The router is unreachable or the connection broke: retry the operation at another
+        // address.
         m_addressUntil = {};
         m_lastExplained = false;
         retry(FirstBackoff, true);
@@ -188,7 +190,8 @@
         m_context.toldNotRun.insert(m_requestId);
     if (reason == "draining" || reason == "not_ready")
         m_addressUntil = {};
-    // One operation is repeated under one idempotency key; the unknown outcome is final.
+    // An operation is retried under its idempotency key, except after an unknown outcome, which is
+    // final.
     retry(MaxBackoff, reason != "outcome_unknown");
 }
 
--- a/standin/fleet/Caller.h
+++ b/standin/fleet/Caller.h
@@ -12,7 +12,7 @@
 
 enum class RequestShape { StreamedChat, WholeChat, IdempotentCall, NonIdempotentCall };
 
-/// \brief What all callers of a LoadDriver share.
+/// \brief State that all callers of a LoadDriver share.
 struct CallerContext
 {
     const Fleet &fleet;
@@ -21,17 +21,17 @@
     RandomSource random;
     LoadReport &report;
     Duration answerTimeout = std::chrono::seconds(8); ///< Of one attempt.
-    Duration patience = std::chrono::seconds(25); ///< Of one request with all its attempts.
+    Duration patience = std::chrono::seconds(25); ///< Of a request with all its attempts.
     Duration maxPause = std::chrono::milliseconds(200); ///< Between two requests of a caller.
     int maxTokens = 20;
     std::set<std::string> sent = {}; ///< Request ids of all attempts.
-    std::set<std::string> toldNotRun = {}; ///< Request ids of attempts.
+    std::set<std::string> toldNotRun = {}; ///< Request ids of attempts with verdict `not_run`.
     std::set<std::string> answeredOperations = {};
-    std::set<std::string> onceOnly = {}; ///< Operations that must not be executed twice.
+    std::set<std::string> onceOnly = {}; ///< Must not be executed twice.
 };
 
-/// \brief One returning caller: asks which address to use, keeps the answer for a while, sends one
-/// request after another with pauses and repeats by the rules that the system states.
+/// \brief Simulates a caller that sends one request after another with pauses. It asks a router
+/// which address to use, caches the answer for its lifetime and retries by the documented rules.
 class Caller : public std::enable_shared_from_this<Caller>
 {
 public:
@@ -71,7 +71,7 @@
     std::string m_address;
     TimePoint m_addressUntil;
     TimePoint m_started;
-    bool m_lastExplained = false; ///< The last attempt got an answer that says what happened.
+    bool m_lastExplained = false; ///< The last answer had a reason and a verdict.
 };
 
 } // namespace catkinloft::standin
--- a/standin/fleet/ChildProcess.cpp
+++ b/standin/fleet/ChildProcess.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Runs in the child; only functions that are safe between fork and exec.
+/// Runs in the child between fork and exec and therefore calls only async-signal-safe functions.
 [[noreturn]] void runChild(pid_t parent, const char *logFile, char **argv)
 {
-    // A child of a run that was killed must not stay behind.
+    // Terminates the child when the parent is killed.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int fd = open(logFile, O_WRONLY | O_CREAT | O_APPEND, 0600);
     if (getppid() == parent && fd >= 0) {
@@ -39,7 +39,7 @@
     const pid_t parent = getpid();
     m_pid = fork();
     if (m_pid < 0)
-        throw std::runtime_error("can not start " + command[0]);
+        throw std::runtime_error("cannot fork to start " + command[0]);
     if (m_pid == 0)
         runChild(parent, target.c_str(), argv.data());
 }
--- a/standin/fleet/ChildProcess.h
+++ b/standin/fleet/ChildProcess.h
@@ -7,29 +7,30 @@
 
 namespace catkinloft::standin {
 
-/// \brief A process that this one started, and ends with it. Only for tests, the demo and benches:
-/// no part of the product starts a process.
+/// \brief A child process that is killed when this object is destroyed or the parent terminates.
+/// Only for tests, the demo and benchmarks: the product itself starts no processes.
 class ChildProcess
 {
 public:
-    /// \param logFile standard error goes there; empty: dropped.
+    /// \param logFile receives standard output and standard error; they are discarded if it is
+    /// empty.
     ChildProcess(const std::vector<std::string> &command, const std::string &logFile);
 
-    /// \brief Kills the process if it still runs.
+    /// \brief Kills the process if it is still running.
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
     pid_t pid() const { return m_pid; }
 
-    /// \brief Sends signal \a number, as SIGTERM, SIGKILL, SIGSTOP or SIGCONT.
+    /// \brief Sends signal \a number, such as SIGTERM, SIGKILL, SIGSTOP or SIGCONT.
     void signal(int number) const;
 
-    /// \brief Waits for the end.
-    /// \returns the exit code, or minus the signal that ended it.
+    /// \brief Waits until the process exits.
+    /// \returns the exit code, or the negated number of the signal that terminated it.
     int wait();
 
-    /// \returns whether it has not ended yet.
+    /// \returns whether the process has not exited yet.
     bool isRunning();
 
 private:
--- a/standin/fleet/Deployment.cpp
+++ b/standin/fleet/Deployment.cpp
@@ -28,7 +28,7 @@
                 .workspaces = 10,
                 .largeWorkspaces = 2,
                 .routers = 6};
-    throw std::runtime_error("no deployment of this name");
+    throw std::runtime_error("unknown deployment, expected sofiyska or fraserlight");
 }
 
 } // namespace catkinloft::standin
--- a/standin/fleet/Deployment.h
+++ b/standin/fleet/Deployment.h
@@ -6,7 +6,7 @@
 
 namespace catkinloft::standin {
 
-/// \brief What one of the brief's users runs, by size.
+/// \brief Names and sizes of one user's deployment.
 struct Deployment
 {
     std::string name;
@@ -17,11 +17,11 @@
     std::string service; ///< Plain service whose POST calls may not be repeated.
     int replicas = 0;
     int workspaces = 0;
-    int largeWorkspaces = 0; ///< The first ones; they send most of the load.
+    int largeWorkspaces = 0; ///< The first of the workspaces; they send most of the load.
     int routers = 6;
 };
 
-/// \returns the deployment `sofiyska` or `fraserlight`; throws std::runtime_error for another.
+/// \returns the deployment `sofiyska` or `fraserlight`. Throws std::runtime_error for other names.
 Deployment deploymentNamed(std::string_view name);
 
 } // namespace catkinloft::standin
--- a/standin/fleet/EntryFleet.cpp
+++ b/standin/fleet/EntryFleet.cpp
@@ -54,7 +54,7 @@
       m_folder((std::filesystem::temp_directory_path() / "catkinloft-XXXXXX").string())
 {
     if (!mkdtemp(m_folder.data()))
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create temporary directory " + m_folder);
     m_routers.resize(m_options.routers);
     m_replicas.resize(2 * m_options.replicas);
 }
@@ -87,7 +87,7 @@
                       const std::string &body)
 {
     if (!Fleet::waitFor([&] { return accepts(address, target, body); }))
-        throw std::runtime_error("a stand-in does not take " + target);
+        throw std::runtime_error("stand-in did not accept POST " + target);
 }
 
 void EntryFleet::startStore()
@@ -164,7 +164,7 @@
 
 std::string EntryFleet::domainOfId(const std::string &id) const
 {
-    // Its number stands behind the first dash, \sa startReplica().
+    // The replica's index follows the first dash, see startReplica().
     return domainOf(std::stoul(id.substr(id.find('-') + 1)));
 }
 
@@ -276,7 +276,7 @@
     }
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
         if (!Fleet::waitFor([&] { return isReady(i); }))
-            throw std::runtime_error("a router does not become ready");
+            throw std::runtime_error("router did not become ready in time");
     }
 }
 
@@ -299,7 +299,7 @@
         return taken || !it.process->isRunning();
     });
     if (!decided)
-        throw std::runtime_error("replica " + it.id + " does not take its faults");
+        throw std::runtime_error("replica " + it.id + " did not accept the faults");
     return taken;
 }
 
--- a/standin/fleet/EntryFleet.h
+++ b/standin/fleet/EntryFleet.h
@@ -14,32 +14,32 @@
 
 namespace catkinloft::standin {
 
-/// \brief Real processes on loopback as the users' platform starts them: its store, replicas of two
-/// services and entry routers. Replicas, and each router's way to the store, stand behind fault
-/// proxies.
+/// \brief Runs real processes on loopback as the users' platform starts them: the store, replicas
+/// of two services and entry routers. The routers connect to the replicas and to the store through
+/// fault proxies.
 class EntryFleet
 {
 public:
     struct Options
     {
-        std::string binaries; ///< Folder of the built programs.
+        std::string binaries; ///< Directory of the built programs.
         std::size_t routers = 3;
         std::size_t replicas = 3; ///< Of each of the services `calls` and `streams`.
-        std::size_t domains = 1; ///< Failure domains, over which the replicas are spread in turn.
-        std::string extraSettings = {}; ///< Further lines of each router's settings.
+        std::size_t domains = 1; ///< Failure domains; replicas are assigned to them in turn.
+        std::string extraSettings = {}; ///< Additional lines of each router's settings.
     };
 
     explicit EntryFleet(Options options);
     ~EntryFleet();
 
-    /// \brief Starts everything and waits until every replica listens and every router is ready.
-    /// Throws std::runtime_error where that does not happen in time.
+    /// \brief Starts all processes and waits until every replica listens and every router is ready.
+    /// Throws std::runtime_error if that does not happen in time.
     void start();
 
-    /// \brief Starts router \a i, again after it was stopped.
+    /// \brief Starts or restarts router \a i.
     void startRouter(std::size_t i);
 
-    /// \brief Writes the settings file of router \a i anew, with \a extra lines.
+    /// \brief Rewrites the settings file of router \a i with the additional lines \a extra.
     void changeSettings(std::size_t i, const std::string &extra) { writeSettings(i, extra); }
     ChildProcess &router(std::size_t i) { return *m_routers.at(i).process; }
     std::size_t routerCount() const { return m_routers.size(); }
@@ -54,52 +54,56 @@
     /// \returns the failure domain of replica \a i.
     std::string domainOf(std::size_t i) const;
 
-    /// \returns the failure domain of the replica that has or had \a id.
+    /// \returns the failure domain of the replica with the current or former id \a id.
     std::string domainOfId(const std::string &id) const;
 
-    /// \brief Starts replica \a i anew, with a new id, and registers it.
+    /// \brief Restarts replica \a i with a new id and registers it.
     void restartReplica(std::size_t i);
 
-    /// \returns whether replica \a i has ended by itself, and that was seen at least \a away ago.
+    /// \returns whether replica \a i has exited and this was first noticed at least \a away ago.
     bool hasEnded(std::size_t i, Duration away);
 
-    /// \brief Starts the replicas anew that have ended by themselves at least \a away ago.
+    /// \brief Restarts the replicas for which hasEnded() is true.
     void restartEndedReplicas(Duration away);
 
-    /// \brief Writes the entry of replica \a i, or removes it. \param cold how long it stays cold.
+    /// \brief Writes the entry of replica \a i to the store, or removes it.
+    /// \param cold how long the replica stays cold.
     void registerReplica(std::size_t i, const std::string &state, Duration cold = Duration::zero());
     void removeReplica(std::size_t i);
 
-    /// \brief Asks that nothing be sent to replicas in \a domain, or takes that back.
+    /// \brief Asks the routers to send nothing to replicas in \a domain, or revokes that.
     void evacuate(const std::string &domain);
     void endEvacuation(const std::string &domain);
 
-    /// \brief Puts a configuration in force. \param keys API keys of the only workspace.
-    /// \returns its version.
+    /// \brief Writes a new configuration to the store.
+    /// \param keys API keys of the only workspace.
+    /// \returns the version of the configuration.
     std::uint64_t writeConfig(const std::vector<std::string> &keys, bool withExtraRoute = false);
 
-    /// \brief Sets faults, a JSON object, at the proxy before replica \a i, or at the proxy between
-    /// router \a i and the store.
+    /// \brief Sets \a faults, a JSON object, at the proxy in front of replica \a i, or at the proxy
+    /// between router \a i and the store.
     void strikeReplica(std::size_t i, const std::string &faults);
     void strikeStorePath(std::size_t i, const std::string &faults);
 
-    /// \brief Sets shares of failing requests at replica \a i.
-    /// \returns false where the replica ended before it took them.
+    /// \brief Sets the faults of ReplicaStandin at replica \a i.
+    /// \param shares JSON object with the share of requests for each fault.
+    /// \returns false if the replica exited before it accepted them.
     bool setReplicaFaults(std::size_t i, const std::string &shares);
 
-    /// \brief Sets the mode of the store for all; \sa PlatformStandin
+    /// \brief Sets the mode of the store for all routers.
+    /// \sa PlatformStandin
     void setStoreMode(const std::string &mode, int delayMs = 0);
 
-    /// \brief Makes the store forget the changes so far.
+    /// \brief Makes the store discard its change history.
     void forgetHistory();
 
-    /// \returns what all replicas executed since the start, killed ones included.
+    /// \returns the executions of all replicas since the start, including killed ones.
     std::vector<Json::Value> executions() const;
 
-    /// \returns the same with the requests that they turned away.
+    /// \returns the executions and the requests that the replicas refused.
     std::vector<Json::Value> arrivals() const;
 
-    /// \returns the log lines of router \a i so far.
+    /// \returns the log of router \a i so far.
     std::string routerLog(std::size_t i) const;
 
     const std::string &folder() const { return m_folder; }
@@ -107,7 +111,7 @@
     static constexpr const char *Host = "entry.example";
     static constexpr const char *Key = "first-key";
 
-    /// Requests a second that a cold replica bears from all routers together.
+    /// Requests per second that a cold replica can take from all routers together.
     static constexpr int ColdPerSecond = 20;
 
 private:
@@ -132,7 +136,7 @@
         std::string id;
         std::string address;
         int starts = 0;
-        std::optional<TimePoint> endedAt = {}; ///< When it was first seen not to run.
+        std::optional<TimePoint> endedAt = {}; ///< When its exit was first noticed.
         Proxy proxy;
         std::unique_ptr<ChildProcess> process;
     };
--- a/standin/fleet/Fleet.cpp
+++ b/standin/fleet/Fleet.cpp
@@ -41,7 +41,7 @@
 {
     std::string path = (std::filesystem::temp_directory_path() / "catkinloft-XXXXXX").string();
     if (!mkdtemp(path.data()))
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create temporary directory " + path);
     return path;
 }
 
@@ -131,7 +131,7 @@
                                              .target = "/v1/faults",
                                              .body = faults});
     if (!answer || answer.value().head.status != 200)
-        throw std::runtime_error("a proxy does not take its faults");
+        throw std::runtime_error("proxy did not accept the faults");
 }
 
 void Fleet::setPlatformMode(const std::string &role, const std::string &mode,
@@ -143,7 +143,7 @@
                    .target = "/v1/control",
                    .body = fmt::format(R"({{"mode":"{}"{}}})", mode, more)});
     if (!answer || answer.value().head.status != 204)
-        throw std::runtime_error("a platform role does not take its mode");
+        throw std::runtime_error("platform role did not accept the mode");
 }
 
 std::string Fleet::recordFile(const std::string &name) const
@@ -231,19 +231,19 @@
     waitUntilListening(m_engineAddresses);
     waitUntilListening(m_replicaAddresses);
     for (const auto &[target, proxy] : m_proxies)
-        waitUntilListening({proxy.control}); // It opens behind the proxy's own address.
+        waitUntilListening({proxy.control}); // Opened after the proxy's own address.
     const auto answers = [](const std::string &address, const char *target) {
         const Result<HttpAnswer> answer = fetch({.address = address, .target = target});
         return answer && answer.value().head.status == 200;
     };
     if (!waitFor([&] { return answers(platformAddress("vms"), "/v1/vms"); }))
-        throw std::runtime_error("the VM list does not answer");
+        throw std::runtime_error("no answer from the VM list");
     publishVms();
     if (!waitFor([&] { return apply(inventory()) == 200; }))
-        throw std::runtime_error("the first configuration was not accepted");
+        throw std::runtime_error("the routers did not accept the first configuration");
     for (const std::string &it : m_routerAddresses) {
         if (!waitFor([&] { return answers(it, "/readyz"); }))
-            throw std::runtime_error("a router does not become ready");
+            throw std::runtime_error("router did not become ready: " + it);
     }
 }
 
@@ -268,7 +268,7 @@
                                              .target = "/v1/vms",
                                              .body = fmt::format(R"({{"vms":[{}]}})", vms)});
     if (!answer)
-        throw std::runtime_error("the VM list does not answer");
+        throw std::runtime_error("no answer from the VM list");
 }
 
 std::string Fleet::inventory(const std::function<std::string(std::string)> &edit) const
--- a/standin/fleet/Fleet.h
+++ b/standin/fleet/Fleet.h
@@ -14,36 +14,36 @@
 
 namespace catkinloft::standin {
 
-/// \brief Real processes of one deployment on loopback: platform, engines, plain service and
-/// routers. Everything is stopped with it.
+/// \brief Runs the processes of one deployment on loopback: platform, engines, replicas of a plain
+/// service and routers. The destructor kills all of them.
 class Fleet
 {
 public:
     struct Options
     {
         Deployment deployment;
-        std::string binaries; ///< Folder of the built programs.
-        std::vector<std::string> engineFlags = {}; ///< Further flags of each engine.
-        std::vector<std::string> serviceFlags = {}; ///< Further flags of each replica.
-        std::string serviceTimeout = "10s"; ///< Of a call, in the inventory.
+        std::string binaries; ///< Directory of the built programs.
+        std::vector<std::string> engineFlags = {}; ///< Additional flags of each engine.
+        std::vector<std::string> serviceFlags = {}; ///< Additional flags of each replica.
+        std::string serviceTimeout = "10s"; ///< Timeout of a call in the inventory.
         std::string extraRules = {}; ///< Lines under `rules:` of the inventory.
-        std::string extraSettings = {}; ///< Further lines of each router's settings.
-        bool proxiedUpstreams = false; ///< Engines and replicas stand behind fault proxies.
-        bool proxiedPlatform = false; ///< So do the table service and the object store.
+        std::string extraSettings = {}; ///< Additional lines of each router's settings.
+        bool proxiedUpstreams = false; ///< Engines and replicas are behind fault proxies.
+        bool proxiedPlatform = false; ///< So are the platform's services.
     };
 
     explicit Fleet(Options options);
     ~Fleet();
 
-    /// \brief Starts everything, applies the first configuration and waits until every upstream
+    /// \brief Starts all processes, applies the first configuration and waits until every upstream
     /// listens and every router has the configuration. Throws std::runtime_error with the reason
-    /// where that does not happen in time.
+    /// if that does not happen in time.
     void start();
 
-    /// \brief Starts router \a i, again after it was stopped.
+    /// \brief Starts or restarts router \a i.
     void startRouter(std::size_t i);
 
-    /// \returns the process of router \a i, of engine or replica \a i, or of a platform role.
+    /// \returns the process of router, engine or replica \a i, or of a platform role.
     ChildProcess &router(std::size_t i);
     ChildProcess &engine(std::size_t i);
     ChildProcess &replica(std::size_t i);
@@ -65,51 +65,56 @@
     const Deployment &deployment() const { return m_options.deployment; }
     const std::string &folder() const { return m_folder; }
 
-    /// \returns the inventory as YAML; \a edit may change each address before it is written, so
-    /// that a proxy can stand in between.
+    /// \returns the inventory as YAML.
+    /// \param edit maps each upstream's address to the one that is written, such as that of a
+    /// proxy; by default, that of the upstream's fault proxy if it has one.
     std::string inventory(const std::function<std::string(std::string)> &edit = {}) const;
 
-    /// \returns where routers reach what listens at \a address: its proxy, if there is one.
+    /// \returns the address of the fault proxy in front of \a address, or \a address if there is
+    /// none.
     std::string via(const std::string &address) const;
 
-    /// \brief Sets \a faults, a JSON object, at the proxy before \a address.
+    /// \brief Sets \a faults, a JSON object, at the proxy in front of \a address.
     void strike(const std::string &address, const std::string &faults);
 
-    /// \brief Sets the mode of a platform role, with further members in \a more.
+    /// \brief Sets the mode of a platform role.
+    /// \param more further members of the JSON object, each with a leading comma.
     void setPlatformMode(const std::string &role, const std::string &mode,
                          const std::string &more = {});
 
-    /// \brief Starts engine or replica \a i, again after it was stopped.
+    /// \brief Starts or restarts engine or replica \a i.
     void startEngine(std::size_t i);
     void startReplica(std::size_t i);
 
-    /// \returns what all engines and replicas executed since the start, killed ones included.
+    /// \returns the executions of all engines and replicas since the start, including killed ones.
     std::vector<Json::Value> executions() const;
 
-    /// \brief Puts \a inventory in force through router \a i.
-    /// \returns the answer's status; 0 where there was none.
+    /// \brief Applies \a inventory through router \a i.
+    /// \returns the status of the answer, or 0 if there was none.
     int apply(const std::string &inventory, std::size_t i = 0);
 
     /// \brief Sends one request and waits for its answer.
     static Result<HttpAnswer> fetch(HttpCall call);
 
-    /// \returns whether \a address, IP:PORT, accepts connections. Sends nothing, so that what
-    /// listens there takes it for no request.
+    /// \returns whether \a address, IP:PORT, accepts connections. Sends no request, so that the
+    /// process listening there does not record one.
     static bool isListening(const std::string &address);
 
     /// \brief Waits until all \a addresses accept connections. Throws std::runtime_error with the
-    /// first that does not in time.
+    /// first one that does not do so in time.
     static void waitUntilListening(const std::vector<std::string> &addresses);
 
-    /// \brief Tries \a condition until it holds.
-    /// \returns false where it did not hold within \a limit.
+    /// \brief Polls \a condition until it holds.
+    /// \returns false if it did not hold within \a limit.
     static bool waitFor(const std::function<bool()> &condition,
                         Duration limit = std::chrono::seconds(20));
 
-    /// \returns the log lines of router \a i so far.
+    /// \returns the log of router \a i so far.
     std::string routerLog(std::size_t i) const;
 
-    /// \brief Tells the VM list which routers there are. \param leaving their numbers.
+    /// \brief Writes the routers to the VM list.
+    /// \param gone indexes of routers that are omitted.
+    /// \param leaving indexes of routers in state `leaving`.
     void publishVms(const std::vector<std::size_t> &gone = {},
                     const std::vector<std::size_t> &leaving = {});
 
@@ -132,7 +137,7 @@
 
     Options m_options;
     std::string m_folder;
-    std::map<std::string, Proxy> m_proxies; ///< By the address behind them.
+    std::map<std::string, Proxy> m_proxies; ///< By target address.
     std::map<std::string, std::string> m_platformAddresses;
     std::vector<std::string> m_engineAddresses;
     std::vector<std::string> m_replicaAddresses;
--- a/standin/fleet/LoadDriver.cpp
+++ b/standin/fleet/LoadDriver.cpp
@@ -90,7 +90,7 @@
         if (it.isMember("echo"))
             m_report.workByEngine[it["by"].asString()] += it["work"].asDouble();
         ++byOperation[operation];
-        // A router may add something of its own behind a dot.
+        // A router may append its own suffix after a dot.
         const std::string id = it["request_id"].asString();
         const std::size_t start = std::min(id.find(prefix), id.size());
         const std::string attempt = id.substr(start, id.find('.', start) - start);
--- a/standin/fleet/PortAllocator.cpp
+++ b/standin/fleet/PortAllocator.cpp
@@ -13,10 +13,11 @@
 
 constexpr std::uint16_t FirstPort = 12'000;
 constexpr std::uint16_t LastPort = 32'000;
-constexpr std::uint16_t BlockSize = 100; ///< Two fleets of four routers and six replicas.
+constexpr std::uint16_t BlockSize =
+        100; ///< Enough for two fleets of four routers and six replicas.
 constexpr std::uint16_t BlockCount = (LastPort - FirstPort) / BlockSize;
 
-/// \returns a socket bound to \a port, or -1 where the port is taken.
+/// \returns a socket bound to \a port, or -1 if the port is in use.
 int bindPort(std::uint16_t port)
 {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -42,7 +43,7 @@
 } // namespace
 
 PortAllocator::PortAllocator()
-    // Processes that start together look in different places first.
+    // Processes that start together begin their search at different blocks.
     : m_search(static_cast<std::uint16_t>(getpid() % BlockCount))
 { }
 
@@ -76,7 +77,7 @@
     if (claimBlock())
         m_block = m_blocks.size() - 1;
     else if (!m_blocks.empty())
-        m_block = (m_block + 1) % m_blocks.size(); // All are claimed: own ports are used again.
+        m_block = (m_block + 1) % m_blocks.size(); // No block is free: reuse the own ones.
     return !m_blocks.empty();
 }
 
@@ -91,7 +92,7 @@
             out.push_back(port);
     }
     if (out.size() < n)
-        throw std::runtime_error("no free ports");
+        throw std::runtime_error("not enough free ports on 127.0.0.1");
     return out;
 }
 
--- a/standin/fleet/PortAllocator.h
+++ b/standin/fleet/PortAllocator.h
@@ -5,12 +5,13 @@
 
 namespace catkinloft::standin {
 
-/// \brief Hands out ports of 127.0.0.1 in blocks that belong to one allocator of the whole machine.
+/// \brief Allocates ports of 127.0.0.1 from blocks, each of which belongs to a single allocator on
+/// the machine.
 ///
-/// Fleets of several test programs run side by side, and a router that was killed leaves its ports
-/// free until it is started again. Without blocks another fleet takes them meanwhile: the router
-/// can't start, or its callers reach the other fleet. A block is held by a socket that listens on
-/// its first port for as long as the allocator lives.
+/// Several test programs run their fleets concurrently, and the ports of a killed router are free
+/// until it is restarted. Without blocks, another fleet could take these ports in the meantime, so
+/// that the router could not start or its callers would reach the other fleet. An allocator owns a
+/// block as long as its socket listens on the first port of the block; the destructor closes it.
 class PortAllocator
 {
 public:
@@ -19,19 +20,19 @@
     PortAllocator(const PortAllocator &) = delete;
     PortAllocator &operator=(const PortAllocator &) = delete;
 
-    /// \returns \a n ports that are free now, below the range that the kernel hands out for
-    /// outgoing connections. Throws std::runtime_error where there are none.
+    /// \returns \a n ports that are free now, below the range that the kernel uses for outgoing
+    /// connections. Throws std::runtime_error if there are not enough.
     std::vector<std::uint16_t> take(std::size_t n);
 
 private:
     bool claimBlock();
     bool advance();
 
-    std::vector<int> m_guards; ///< Sockets that hold the blocks.
+    std::vector<int> m_guards; ///< Sockets that reserve the blocks.
     std::vector<std::uint16_t> m_blocks; ///< First port of each block.
-    std::size_t m_block = 0; ///< Whose ports are handed out.
-    std::uint16_t m_offset = 0; ///< Of the last port in that block.
-    std::uint16_t m_search; ///< Where the search for another block goes on.
+    std::size_t m_block = 0; ///< Index of the block in use.
+    std::uint16_t m_offset = 0; ///< Of the last tried port in that block.
+    std::uint16_t m_search; ///< Block number at which the search for a free block continues.
 };
 
 /// \returns \a n free ports from the blocks of this process; \sa PortAllocator::take
--- a/standin/fleet/ProcessUsage.cpp
+++ b/standin/fleet/ProcessUsage.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Fields of /proc/PID/stat between the name and the user time.
+/// Number of fields of /proc/PID/stat between the name and the user time.
 constexpr int FieldsBeforeTimes = 11;
 
 } // namespace
@@ -21,7 +21,7 @@
     std::ifstream in(fmt::format("/proc/{}/stat", pid));
     std::string text;
     std::getline(in, text);
-    // The name may hold anything, a closing bracket included, so the last one ends it.
+    // The name may contain closing parentheses, so it ends at the last one.
     std::istringstream fields(text.substr(text.rfind(')') + 2));
     std::string skipped;
     for (int i = 0; i < FieldsBeforeTimes; ++i)
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -18,24 +18,24 @@
 DEFINE_string(listen, "127.0.0.1:9100", "address to listen on, IP:PORT");
 DEFINE_string(name, "standin", "name in answers and logs");
 DEFINE_int32(slots, 32, "engine: requests in one batch");
-DEFINE_double(prefill_rate, 20000, "engine: prompt tokens read a second");
+DEFINE_double(prefill_rate, 20000, "engine: prompt tokens per second");
 DEFINE_double(token_ms, 5, "engine: milliseconds between two tokens of a request");
-DEFINE_double(cache_tokens, 400000, "engine: prompt tokens kept");
-DEFINE_double(batch_slowdown, 0.5, "engine: share by which a full batch makes a token slower");
-DEFINE_double(event_lag_ms, 500, "engine: milliseconds until a cache event shows");
-DEFINE_double(load_lag_ms, 200, "engine: longest age of a load report in milliseconds");
-DEFINE_string(model, "", "engine: model that it runs at first");
-DEFINE_bool(checks_fencing, false, "engine: refuses orders with an old fencing number");
-DEFINE_int32(refuse_every, 0, "service: every so many calls get a 503 and do nothing");
-DEFINE_bool(recorded, true, "service: keeps a record of every execution");
-DEFINE_string(record_file, "", "engine, service: executions are added to this file");
-DEFINE_double(writes_per_second, 500, "table, objects, weights: limit of writes");
-DEFINE_double(reads_per_second, 2000, "table, objects, weights: limit of reads");
-DEFINE_string(control, "", "proxy: address for its faults, IP:PORT");
-DEFINE_string(target, "", "proxy: address that it passes on to, IP:PORT");
-DEFINE_double(service_ms, 2, "service: milliseconds from a call to its answer");
-DEFINE_double(listen_after_ms, 0, "milliseconds from the start until it listens");
-DEFINE_double(lag_ms, 500, "vms: milliseconds until a change shows");
+DEFINE_double(cache_tokens, 400000, "engine: capacity of the prefix cache in tokens");
+DEFINE_double(batch_slowdown, 0.5, "engine: relative increase of the token time in a full batch");
+DEFINE_double(event_lag_ms, 500, "engine: milliseconds until a cache event is visible");
+DEFINE_double(load_lag_ms, 200, "engine: maximum age of a load report in milliseconds");
+DEFINE_string(model, "", "engine: model at start");
+DEFINE_bool(checks_fencing, false, "engine: refuses orders with an outdated fencing number");
+DEFINE_int32(refuse_every, 0, "service: every N-th call is answered 503 and not executed; 0: none");
+DEFINE_bool(recorded, true, "service: records every execution");
+DEFINE_string(record_file, "", "engine, service, replica: executions are appended to this file");
+DEFINE_double(writes_per_second, 500, "table, objects, weights, rowstore: rate limit of writes");
+DEFINE_double(reads_per_second, 2000, "table, objects, weights, rowstore: rate limit of reads");
+DEFINE_string(control, "", "proxy: address of its control interface, IP:PORT");
+DEFINE_string(target, "", "proxy: address that it forwards to, IP:PORT");
+DEFINE_double(service_ms, 2, "service, replica: milliseconds from a call to its answer");
+DEFINE_double(listen_after_ms, 0, "milliseconds from the start until the process listens");
+DEFINE_double(lag_ms, 500, "vms: milliseconds until a change is visible");
 
 namespace catkinloft::standin {
 
@@ -122,7 +122,7 @@
     EventLoop loop;
     const auto factory = factories().find(role);
     if (factory == factories().end()) {
-        fmt::print(stderr, "catkinloft-standin: no role '{}'\n", role);
+        fmt::print(stderr, "catkinloft-standin: unknown role '{}'\n", role);
         return 2;
     }
     const std::unique_ptr<Standin> it = factory->second(loop);
