--- a/standin/fleet/Deployment.h
+++ b/standin/fleet/Deployment.h
@@ -14,7 +14,7 @@
     std::string region;
     std::string model;
     int engines = 0;
-    std::string service; ///< Plain service whose POST calls may not be repeated.
+    std::string service; ///< Plain service whose POST calls are not idempotent.
     int replicas = 0;
     int workspaces = 0;
     int largeWorkspaces = 0; ///< The first of the workspaces; they send most of the load.
--- a/standin/fleet/Fleet.cpp
+++ b/standin/fleet/Fleet.cpp
@@ -240,7 +240,7 @@
         throw std::runtime_error("no answer from the VM list");
     publishVms();
     if (!waitFor([&] { return apply(inventory()) == 200; }))
-        throw std::runtime_error("the routers did not accept the first configuration");
+        throw std::runtime_error("router 0 did not accept the first configuration");
     for (const std::string &it : m_routerAddresses) {
         if (!waitFor([&] { return answers(it, "/readyz"); }))
             throw std::runtime_error("router did not become ready: " + it);
