--- a/src/Decide/ConnectionReusePolicy.cpp
+++ b/src/Decide/ConnectionReusePolicy.cpp
@@ -13,9 +13,9 @@
 bool ConnectionReusePolicy::reportBroken(Duration idleTime, Duration after)
 {
     recover();
-    if (idleTime < m_options.least || after > m_options.maxResetTime)
+    if (idleTime < m_options.minLimit || after > m_options.maxResetTime)
         return false;
-    m_limit = std::clamp(idleTime / 2, m_options.least, m_limit);
+    m_limit = std::clamp(idleTime / 2, m_options.minLimit, m_limit);
     m_changedAt = m_options.clock.now();
     return true;
 }
@@ -23,8 +23,8 @@
 void ConnectionReusePolicy::recover()
 {
     const TimePoint now = m_options.clock.now();
-    while (m_limit < m_options.most && now - m_changedAt >= m_options.recoveryInterval) {
-        m_limit = std::min(2 * m_limit, m_options.most);
+    while (m_limit < m_options.maxLimit && now - m_changedAt >= m_options.recoveryInterval) {
+        m_limit = std::min(2 * m_limit, m_options.maxLimit);
         m_changedAt += m_options.recoveryInterval;
     }
 }
--- a/test/AttemptHistoryTest.cpp
+++ b/test/AttemptHistoryTest.cpp
@@ -14,7 +14,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(AttemptHistoryFixture, "sendings_idempotentCall_goesToTwoReplicasTwiceEach")
+TEST_CASE_FIXTURE(AttemptHistoryFixture,
+                  "attemptHistory_idempotentCall_allowsTwoAttemptsPerReplica")
 {
     for (const char *it : {"a", "b", "a"}) {
         CHECK(history.mayRetry(route));
@@ -27,7 +28,7 @@
     CHECK_FALSE(history.mayRetry(route));
 }
 
-TEST_CASE_FIXTURE(AttemptHistoryFixture, "sendings_stream_isSentNoMoreOftenThanReplicasAreAllowed")
+TEST_CASE_FIXTURE(AttemptHistoryFixture, "attemptHistory_stream_allowsNoMoreAttemptsThanReplicas")
 {
     route.kind = CallKind::Streaming;
     history.sent("a");
@@ -37,7 +38,7 @@
     CHECK_FALSE(history.isLimitedToReached(route));
 }
 
-TEST_CASE_FIXTURE(AttemptHistoryFixture, "sendings_sendingThatDidNotArrive_doesNotCount")
+TEST_CASE_FIXTURE(AttemptHistoryFixture, "attemptHistory_attemptThatDidNotArrive_doesNotCount")
 {
     history.sent("a");
     history.didNotArrive("a");
@@ -47,7 +48,8 @@
     CHECK(history.count() == 0);
 }
 
-TEST_CASE_FIXTURE(AttemptHistoryFixture, "sendings_secondSendingDidNotArrive_firstStillCounts")
+TEST_CASE_FIXTURE(AttemptHistoryFixture,
+                  "attemptHistory_secondAttemptDidNotArrive_firstStillCounts")
 {
     history.sent("a");
     history.sent("a");
@@ -56,7 +58,7 @@
     CHECK(history.reached().size() == 1);
 }
 
-TEST_CASE_FIXTURE(AttemptHistoryFixture, "sendings_replicasUnreachable_fourMoreAreTried")
+TEST_CASE_FIXTURE(AttemptHistoryFixture, "attemptHistory_replicasUnreachable_fourMoreAreTried")
 {
     int tried = 0;
     for (bool more = true; more; ++tried) {
--- a/test/ConnectionReusePolicyTest.cpp
+++ b/test/ConnectionReusePolicyTest.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-struct IdleTrustFixture
+struct ConnectionReusePolicyFixture
 {
     ManualClock clock;
-    ConnectionReusePolicy trust{{.clock = clock}};
+    ConnectionReusePolicy policy{{.clock = clock}};
 
-    /// \returns how many calls of \a n are lost where connections rest for random times up to
-    /// \a most between two calls and are forgotten after \a forgottenAfter.
-    int lostCalls(int n, Duration most, Duration forgottenAfter)
+    /// \returns how many of \a n calls are lost if connections are idle for random times up to
+    /// \a maxIdleTime between two calls and are dropped after \a droppedAfter.
+    int lostCalls(int n, Duration maxIdleTime, Duration droppedAfter)
     {
         const RandomSource random = seededRandom(7);
         int lost = 0;
         for (int i = 0; i < n; ++i) {
             clock.advance(50ms);
-            const Duration idleTime = scaled(most, uniform(random));
-            const bool reused = idleTime < trust.limit(false);
-            if (!reused || idleTime < forgottenAfter)
+            const Duration idleTime = scaled(maxIdleTime, uniform(random));
+            const bool reused = idleTime < policy.limit(false);
+            if (!reused || idleTime < droppedAfter)
                 continue;
             ++lost;
-            trust.reportBroken(idleTime, 2ms);
+            policy.reportBroken(idleTime, 2ms);
         }
         return lost;
     }
@@ -35,36 +35,40 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_nothingForgotten_longRestsAreTrusted")
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
+                  "connectionReusePolicy_noConnectionDropped_longIdleTimesAreAllowed")
 {
-    CHECK(trust.limit(false) == 6s);
-    CHECK(trust.limit(true) == 12s);
+    CHECK(policy.limit(false) == 6s);
+    CHECK(policy.limit(true) == 12s);
     CHECK(lostCalls(1000, 5s, 6s) == 0);
-    CHECK(trust.limit(false) == 6s);
+    CHECK(policy.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_restingConnectionsForgotten_fewCallsAreLost")
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
+                  "connectionReusePolicy_idleConnectionsDropped_fewCallsAreLost")
 {
-    // 400 calls in 20 seconds, of which 280 would be sent on a forgotten connection.
+    // Without a limit 280 of these 400 calls in 20 seconds would be sent on a dropped connection.
     CHECK(lostCalls(400, 1s, 300ms) <= 4);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_noneForgottenAnyMore_trustReturnsWithinAMinute")
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
+                  "connectionReusePolicy_noneDroppedAnymore_limitRecoversWithinAMinute")
 {
-    CHECK(trust.reportBroken(400ms, 1ms));
-    CHECK(trust.limit(false) == 200ms);
+    CHECK(policy.reportBroken(400ms, 1ms));
+    CHECK(policy.limit(false) == 200ms);
     clock.advance(9s);
-    CHECK(trust.limit(false) == 200ms);
+    CHECK(policy.limit(false) == 200ms);
     clock.advance(1s);
-    CHECK(trust.limit(false) == 400ms);
+    CHECK(policy.limit(false) == 400ms);
     clock.advance(50s);
-    CHECK(trust.limit(false) == 6s);
+    CHECK(policy.limit(false) == 6s);
 }
 
-TEST_CASE_FIXTURE(IdleTrustFixture, "idleTrust_replicaBreaksAtWork_changesNothing")
+TEST_CASE_FIXTURE(ConnectionReusePolicyFixture,
+                  "connectionReusePolicy_connectionBreaksForOtherReasons_limitIsUnchanged")
 {
-    CHECK_FALSE(trust.reportBroken(0s, 1ms)); // A new connection.
-    CHECK_FALSE(trust.reportBroken(30ms, 1ms)); // Used a moment ago.
-    CHECK_FALSE(trust.reportBroken(3s, 40ms)); // The request had arrived.
-    CHECK(trust.limit(false) == 6s);
+    CHECK_FALSE(policy.reportBroken(0s, 1ms)); // a new connection
+    CHECK_FALSE(policy.reportBroken(30ms, 1ms)); // idle for less than minLimit
+    CHECK_FALSE(policy.reportBroken(3s, 40ms)); // broke too late for a reset
+    CHECK(policy.limit(false) == 6s);
 }
--- a/test/RouterHeartbeatTest.cpp
+++ b/test/RouterHeartbeatTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A beat as a router of a large fleet sends it.
+/// \returns a typical heartbeat of a router in a large fleet.
 RouterHeartbeat usualHeartbeat()
 {
     RouterHeartbeat out{.name = "front-kremikovtsi-hall-12",
@@ -32,8 +32,8 @@
 
 } // namespace
 
-// Guards against a fleet whose own traffic grows past that of its callers.
-TEST_CASE("beatCodec_usualBeat_isPackedToLessThanHalf")
+// Guards against heartbeats that take more bandwidth than the requests of callers in a large fleet.
+TEST_CASE("heartbeatCodec_usualHeartbeat_isPackedToLessThanHalf")
 {
     const RouterHeartbeat heartbeat = usualHeartbeat();
     const std::string packed = HeartbeatCodec::pack(heartbeat);
@@ -44,7 +44,7 @@
     CHECK(HeartbeatCodec::encode(read.value()) == HeartbeatCodec::encode(heartbeat));
 }
 
-TEST_CASE("beatCodec_rubbish_isNoBeat")
+TEST_CASE("heartbeatCodec_malformedBytes_areRefused")
 {
     HeartbeatCodec codec;
     const std::string packed = HeartbeatCodec::pack(usualHeartbeat());
--- a/test/StreamResumeTest.cpp
+++ b/test/StreamResumeTest.cpp
@@ -18,7 +18,7 @@
     return out;
 }
 
-/// What a caller gets of the pieces that its connections bring.
+/// Feeds pieces of a stream and collects the events that the caller receives.
 struct StreamFixture
 {
     bool feed(std::string_view data)
@@ -41,7 +41,7 @@
 
 using Disposition = EventOrder::Disposition;
 
-/// \returns what \a order says of events \a ids of the connection at hand.
+/// \returns the results of \a order for the events \a ids on the current connection.
 std::vector<Disposition> take(EventOrder &order, const std::vector<std::int64_t> &ids)
 {
     std::vector<Disposition> out;
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("eventOrder_idsIncreaseBySteps_areDelivered")
+TEST_CASE("eventOrder_idsIncreaseWithGaps_areDelivered")
 {
     EventOrder order;
     CHECK(take(order, {1, 2, 5, 20}) == std::vector(4, Disposition::Deliver));
@@ -62,8 +62,8 @@
     CHECK(!order.hasLostEvent());
 }
 
-// Guards against a stream with a hole that ends as a complete one.
-TEST_CASE("eventOrder_idFallsWithinOneConnection_isDisorder")
+// Guards against a stream that lacks an event and is still reported to the caller as complete.
+TEST_CASE("eventOrder_idDecreasesWithinOneConnection_isDisorder")
 {
     EventOrder order;
     CHECK(take(order, {1, 5, 2})
@@ -85,7 +85,7 @@
     CHECK(order.hasLostEvent());
 }
 
-TEST_CASE("eventOrder_repeatedEventsOutOfOrder_leaveTheCallersPartWhole")
+TEST_CASE("eventOrder_repeatedEventsOutOfOrder_deliveredEventsStayComplete")
 {
     EventOrder order;
     take(order, {1, 2, 3});
@@ -95,7 +95,7 @@
     CHECK(order.last() == 3);
 }
 
-TEST_CASE("eventOrder_resumedBehindTheWrongEvent_isAGap")
+TEST_CASE("eventOrder_resumedAfterTheWrongEvent_isAGap")
 {
     EventOrder order;
     take(order, {1, 2, 3});
@@ -106,7 +106,7 @@
     CHECK(order.take(4) == Disposition::Deliver);
 }
 
-TEST_CASE("eventOrder_idsWithSteps_mayGoOnWithAnyLaterOne")
+TEST_CASE("eventOrder_idsWithGaps_mayResumeWithAnyLaterOne")
 {
     EventOrder order;
     take(order, {10, 20});
@@ -124,10 +124,11 @@
     CHECK(take(order, {11, 12, 13})
           == std::vector{Disposition::Skip, Disposition::Skip, Disposition::Deliver});
     EventOrder later(12);
-    CHECK(later.take(15) == Disposition::Deliver); // Only the caller knows what it had before.
+    CHECK(later.take(15)
+          == Disposition::Deliver); // Whether the ids were consecutive before is unknown.
 }
 
-TEST_CASE("sseReader_everyCutOfAStream_bringsTheSameEvents")
+TEST_CASE("sseReader_streamSplitAnywhere_yieldsTheSameEvents")
 {
     const std::string whole = streamOf(0, 3) + "data: [DONE]\n\n";
     for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
@@ -152,7 +153,7 @@
     CHECK(delivered == streamOf(0, 8));
 }
 
-TEST_CASE_FIXTURE(StreamFixture, "sseReader_endMarkerWithinText_isNoEnd")
+TEST_CASE_FIXTURE(StreamFixture, "sseReader_endMarkerWithinText_isIgnored")
 {
     feed("id: 0\ndata: {\"content\":\"data: [DONE]\"}\n\n");
     CHECK(!ended);
