--- a/bench/demo/main.cpp
+++ b/bench/demo/main.cpp
@@ -42,7 +42,7 @@
     using namespace std::chrono_literals;
     driver.at(1s, [&] { fleet.router(0).signal(SIGKILL); });
     driver.at(2s, [&] { fleet.startRouter(0); });
-    driver.at(3s, [&] { fleet.strike(fleet.engineAddress(1), R"({"silent":true})"); });
+    driver.at(3s, [&] { fleet.setProxyFaults(fleet.engineAddress(1), R"({"silent":true})"); });
     driver.at(4s, [&] { fleet.setPlatformMode("table", "down"); });
     driver.at(6s, [&] { fleet.setPlatformMode("table", "lose_answers"); });
     driver.at(7s, [&] { fleet.setPlatformMode("table", "up"); });
@@ -50,7 +50,7 @@
     driver.at(9s, [&] { fleet.startEngine(2); });
     driver.at(10s, [&] { fleet.router(1).signal(SIGSTOP); });
     driver.at(12s, [&] { fleet.router(1).signal(SIGCONT); });
-    driver.at(12s, [&] { fleet.strike(fleet.replicaAddress(0), R"({"lose_answers":3})"); });
+    driver.at(12s, [&] { fleet.setProxyFaults(fleet.replicaAddress(0), R"({"lose_answers":3})"); });
 }
 
 void addPromises(const LoadReport &report, Figures &out)
@@ -76,7 +76,7 @@
     fleet.start();
     LoadDriver driver({.fleet = fleet,
                        .seed = FLAGS_seed,
-                       .shapes = {RequestShape::StreamedChat, RequestShape::WholeChat,
+                       .shapes = {RequestShape::StreamedChat, RequestShape::NonStreamedChat,
                                   RequestShape::IdempotentCall, RequestShape::NonIdempotentCall},
                        .callers = FLAGS_callers,
                        .requestsEach = FLAGS_requests_each,
@@ -139,7 +139,7 @@
     figures.print(FLAGS_json, deployment.name);
     for (const std::string &it : report.notes)
         fmt::print(stderr, "broken promise: {}\n", it);
-    return report.brokenPromises() == 0 ? 0 : 1;
+    return report.violationCount() == 0 ? 0 : 1;
 }
 
 } // namespace
--- a/bench/measure/ClaimsMeasure.cpp
+++ b/bench/measure/ClaimsMeasure.cpp
@@ -28,7 +28,7 @@
 
     void read(std::vector<std::string>, Callback<std::vector<TableRow>> done) override
     {
-        done(Error{.reason = Reason::StoreDown});
+        done(Error{.reason = Reason::StoreUnavailable});
     }
 
     void scan(std::string, std::size_t, Callback<std::vector<TableRow>> done) override
--- a/bench/measure/FakePlatform.h
+++ b/bench/measure/FakePlatform.h
@@ -93,7 +93,7 @@
 private:
     static Error down(Verdict verdict)
     {
-        return {.reason = Reason::StoreDown, .verdict = verdict, .detail = "down"};
+        return {.reason = Reason::StoreUnavailable, .verdict = verdict, .detail = "down"};
     }
 
     std::vector<TableRow> rowsOf(const std::vector<std::string> &keys) const
@@ -127,7 +127,7 @@
     {
         m_later([this, name = std::move(name), body = std::move(body), done = std::move(done)] {
             if (m_mode == StoreMode::Down) {
-                done(Error{.reason = Reason::StoreDown});
+                done(Error{.reason = Reason::StoreUnavailable});
                 return;
             }
             m_bodies[name] = body;
@@ -141,7 +141,7 @@
         m_later([this, name = std::move(name), done = std::move(done)] {
             const auto it = m_bodies.find(name);
             if (m_mode == StoreMode::Down)
-                done(Error{.reason = Reason::StoreDown});
+                done(Error{.reason = Reason::StoreUnavailable});
             else
                 done(it == m_bodies.end() ? std::optional<std::string>() : it->second);
         });
--- a/soak/SoakRun.cpp
+++ b/soak/SoakRun.cpp
@@ -153,10 +153,10 @@
         m_fleet.forgetHistory();
         break;
     case FaultKind::StorePathCut:
-        m_fleet.strikeStorePath(fault.target, R"({"refuse":true,"cut":true})");
+        m_fleet.setStoreProxyFaults(fault.target, R"({"refuse":true,"cut":true})");
         break;
     case FaultKind::StorePathSilent:
-        m_fleet.strikeStorePath(fault.target, R"({"silent":true})");
+        m_fleet.setStoreProxyFaults(fault.target, R"({"silent":true})");
         break;
     case FaultKind::ReplicaKill:
         ++m_away[fault.target];
@@ -171,10 +171,10 @@
                          R"({"fail":0.15,"refuse":0.15,"lose":0.15,"hang":0.05,"cut":0.15})");
         break;
     case FaultKind::ReplicaPathSilent:
-        m_fleet.strikeReplica(fault.target, R"({"silent":true})");
+        m_fleet.setReplicaProxyFaults(fault.target, R"({"silent":true})");
         break;
     case FaultKind::ReplicaPathDelay:
-        m_fleet.strikeReplica(fault.target, R"({"delay_ms":120})");
+        m_fleet.setReplicaProxyFaults(fault.target, R"({"delay_ms":120})");
         break;
     case FaultKind::ReplicaDrain:
         m_fleet.registerReplica(fault.target, "draining");
@@ -275,7 +275,7 @@
 void SoakRun::reviveReplicas()
 {
     for (std::size_t i = 0; i < m_fleet.replicaCount(); ++i) {
-        if (m_away[i] > 0 || !m_fleet.hasEnded(i, ReplicaAway))
+        if (m_away[i] > 0 || !m_fleet.hasExited(i, ReplicaAway))
             continue;
         m_fleet.restartReplica(i);
         if (const auto it = m_faultsOnReturn.extract(i))
@@ -307,7 +307,7 @@
         m_fleet.setStoreMode("up");
         break;
     case FaultKind::StorePathCut:
-        m_fleet.strikeStorePath(fault.target, R"({"clear":true})");
+        m_fleet.setStoreProxyFaults(fault.target, R"({"clear":true})");
         break;
     case FaultKind::ReplicaKill:
         m_fleet.restartReplica(fault.target);
@@ -325,7 +325,7 @@
         setReplicaFaults(fault.target, "{}");
         break;
     case FaultKind::ReplicaPathDelay:
-        m_fleet.strikeReplica(fault.target, R"({"clear":true})");
+        m_fleet.setReplicaProxyFaults(fault.target, R"({"clear":true})");
         break;
     case FaultKind::DomainEvacuated:
         endEvacuation(fault.target);
--- a/src/Base/Compression.cpp
+++ b/src/Base/Compression.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Output is taken in pieces of so many bytes, so that a short input can't claim much memory.
-constexpr std::size_t PieceSize = 64 * 1024;
+constexpr std::size_t ChunkSize = 64 * 1024;
 
 /// Of short texts: a raw stream, without head and checksum, with a window of 4 KB.
 constexpr int ShortWindowBits = -12;
@@ -63,13 +63,13 @@
     it.stream.next_in = const_cast<Bytef *>(bytesOf(bytes));
     it.stream.avail_in = static_cast<uInt>(bytes.size());
     std::string out;
-    std::array<char, PieceSize> piece;
+    std::array<char, ChunkSize> chunk;
     int state = Z_OK;
     while (state == Z_OK && out.size() <= maxSize) {
-        it.stream.next_out = reinterpret_cast<Bytef *>(piece.data());
-        it.stream.avail_out = static_cast<uInt>(piece.size());
+        it.stream.next_out = reinterpret_cast<Bytef *>(chunk.data());
+        it.stream.avail_out = static_cast<uInt>(chunk.size());
         state = inflate(&it.stream, Z_NO_FLUSH);
-        out.append(piece.data(), piece.size() - it.stream.avail_out);
+        out.append(chunk.data(), chunk.size() - it.stream.avail_out);
     }
     if (out.size() > maxSize)
         return malformed(fmt::format("compressed text of more than {} bytes", maxSize));
--- a/src/Base/EntrySettings.cpp
+++ b/src/Base/EntrySettings.cpp
@@ -20,16 +20,16 @@
 
 void readKeyProof(YamlSection it, EntrySettings &out)
 {
-    out.keyProofLimit = it.duration("limit", 100ms, 1h, out.keyProofLimit);
+    out.maxKeyProofAge = it.duration("limit", 100ms, 1h, out.maxKeyProofAge);
     out.requiresKeyProof = it.flag("required", out.requiresKeyProof);
     it.finish();
 }
 
-void readRepeats(YamlSection it, EntrySettings &out)
+void readFleetRetries(YamlSection it, EntrySettings &out)
 {
-    out.repeatShare = it.number("share", 0, 10, "repeats a request", out.repeatShare);
-    out.repeatSlack = it.number("slack", 0, 1e6, "repeats a window", out.repeatSlack);
-    out.repeatWindow = it.duration("window", 100ms, 1h, out.repeatWindow);
+    out.fleetRetryShare = it.number("share", 0, 10, "repeats a request", out.fleetRetryShare);
+    out.fleetRetrySlack = it.number("slack", 0, 1e6, "repeats a window", out.fleetRetrySlack);
+    out.fleetRetryWindow = it.duration("window", 100ms, 1h, out.fleetRetryWindow);
     it.finish();
 }
 
@@ -51,8 +51,9 @@
 
 void readColdReplicas(YamlSection it, EntrySettings &out)
 {
-    out.coldFactor = it.number("factor", 0.01, 100, "times the stated pace", out.coldFactor);
-    out.coldSlack = it.number("slack", 0, 1e6, "requests a second", out.coldSlack);
+    out.coldRateFactor =
+            it.number("factor", 0.01, 100, "times the stated pace", out.coldRateFactor);
+    out.coldRateSlack = it.number("slack", 0, 1e6, "requests a second", out.coldRateSlack);
     it.finish();
 }
 
@@ -70,10 +71,10 @@
 {
     out.promptPlacement = it.flag("prompt_placement", out.promptPlacement);
     out.promptCopies = it.flag("prompt_copies", out.promptCopies);
-    out.promptNews = it.flag("prompt_news", out.promptNews);
-    out.promptSurvey = it.flag("prompt_survey", out.promptSurvey);
-    out.promptPace = it.flag("prompt_pace", out.promptPace);
-    out.toldEjections = it.flag("told_ejections", out.toldEjections);
+    out.promptAnnouncements = it.flag("prompt_news", out.promptAnnouncements);
+    out.promptDiscovery = it.flag("prompt_survey", out.promptDiscovery);
+    out.prefillTimeouts = it.flag("prompt_pace", out.prefillTimeouts);
+    out.announcedEjections = it.flag("told_ejections", out.announcedEjections);
     out.loadShedding = it.flag("load_shedding", out.loadShedding);
     out.requestQuarantine = it.flag("request_quarantine", out.requestQuarantine);
     it.finish();
@@ -87,46 +88,46 @@
     return it == regions.end() ? std::string() : it->second;
 }
 
-EntrySettings::Adjusted EntrySettings::adjust(const EntrySettings &next)
+EntrySettings::UpdateResult EntrySettings::updateFrom(const EntrySettings &next)
 {
-    Adjusted out;
-    const auto take = [&](const char *key, auto EntrySettings::*field) {
+    UpdateResult out;
+    const auto updateField = [&](const char *key, auto EntrySettings::*field) {
         if (this->*field == next.*field)
             return;
         this->*field = next.*field;
         out.changed.emplace_back(key);
     };
-    const auto keep = [&](const char *key, auto EntrySettings::*field) {
+    const auto checkUnchanged = [&](const char *key, auto EntrySettings::*field) {
         if (this->*field != next.*field)
             out.needsRestart.emplace_back(key);
     };
-    take("processor_share", &EntrySettings::processorShare);
-    take("key_proof.limit", &EntrySettings::keyProofLimit);
-    take("key_proof.required", &EntrySettings::requiresKeyProof);
-    take("repeats.share", &EntrySettings::repeatShare);
-    take("repeats.slack", &EntrySettings::repeatSlack);
-    take("config_apply_limit", &EntrySettings::configApplyLimit);
-    take("address_lifetime", &EntrySettings::addressLifetime);
-    take("stop_limit", &EntrySettings::stopLimit);
-    take("replica_drain_limit", &EntrySettings::replicaDrainLimit);
-    take("limits.max_stream_buffer", &EntrySettings::maxStreamBuffer);
-    keep("name", &EntrySettings::name);
-    keep("failure_domain", &EntrySettings::failureDomain);
-    keep("caller_address", &EntrySettings::callerAddress);
-    keep("readiness_address", &EntrySettings::readinessAddress);
-    keep("directory_address", &EntrySettings::directoryAddress);
-    keep("peer_address", &EntrySettings::peerAddress);
-    keep("metrics_address", &EntrySettings::metricsAddress);
-    keep("store_address", &EntrySettings::storeAddress);
-    take("cold_replicas.factor", &EntrySettings::coldFactor);
-    take("cold_replicas.slack", &EntrySettings::coldSlack);
-    keep("regions", &EntrySettings::regions);
-    keep("repeats.window", &EntrySettings::repeatWindow);
-    keep("replica_return_time", &EntrySettings::replicaReturnTime);
-    keep("mechanisms", &EntrySettings::mechanisms);
-    keep("limits.max_header_bytes", &EntrySettings::maxHeaderBytes);
-    keep("limits.max_body_bytes", &EntrySettings::maxBodyBytes);
-    keep("limits.max_connections", &EntrySettings::maxConnections);
+    updateField("processor_share", &EntrySettings::processorShare);
+    updateField("key_proof.limit", &EntrySettings::maxKeyProofAge);
+    updateField("key_proof.required", &EntrySettings::requiresKeyProof);
+    updateField("repeats.share", &EntrySettings::fleetRetryShare);
+    updateField("repeats.slack", &EntrySettings::fleetRetrySlack);
+    updateField("config_apply_limit", &EntrySettings::configApplyTimeout);
+    updateField("address_lifetime", &EntrySettings::addressLifetime);
+    updateField("stop_limit", &EntrySettings::stopTimeout);
+    updateField("replica_drain_limit", &EntrySettings::replicaDrainTimeout);
+    updateField("limits.max_stream_buffer", &EntrySettings::maxStreamBuffer);
+    checkUnchanged("name", &EntrySettings::name);
+    checkUnchanged("failure_domain", &EntrySettings::failureDomain);
+    checkUnchanged("caller_address", &EntrySettings::callerAddress);
+    checkUnchanged("readiness_address", &EntrySettings::readinessAddress);
+    checkUnchanged("directory_address", &EntrySettings::directoryAddress);
+    checkUnchanged("peer_address", &EntrySettings::peerAddress);
+    checkUnchanged("metrics_address", &EntrySettings::metricsAddress);
+    checkUnchanged("store_address", &EntrySettings::storeAddress);
+    updateField("cold_replicas.factor", &EntrySettings::coldRateFactor);
+    updateField("cold_replicas.slack", &EntrySettings::coldRateSlack);
+    checkUnchanged("regions", &EntrySettings::regions);
+    checkUnchanged("repeats.window", &EntrySettings::fleetRetryWindow);
+    checkUnchanged("replica_return_time", &EntrySettings::replicaReregistrationTime);
+    checkUnchanged("mechanisms", &EntrySettings::mechanisms);
+    checkUnchanged("limits.max_header_bytes", &EntrySettings::maxHeaderBytes);
+    checkUnchanged("limits.max_body_bytes", &EntrySettings::maxBodyBytes);
+    checkUnchanged("limits.max_connections", &EntrySettings::maxConnections);
     return out;
 }
 
@@ -144,17 +145,19 @@
     readAddresses(root, *out);
     out->processorShare = root.number("processor_share", 0.01, 1024, "cores", out->processorShare);
     readKeyProof(root.section("key_proof"), *out);
-    readRepeats(root.section("repeats"), *out);
+    readFleetRetries(root.section("repeats"), *out);
     readColdReplicas(root.section("cold_replicas"), *out);
     readRegions(root.sections("regions"), *out);
     readLimits(root.section("limits"), *out);
     readMechanisms(root.section("mechanisms"), out->mechanisms);
-    out->configApplyLimit = root.duration("config_apply_limit", 100ms, 1h, out->configApplyLimit);
+    out->configApplyTimeout =
+            root.duration("config_apply_limit", 100ms, 1h, out->configApplyTimeout);
     out->addressLifetime = root.duration("address_lifetime", 100ms, 1h, out->addressLifetime);
-    out->stopLimit = root.duration("stop_limit", 100ms, 1h, out->stopLimit);
-    out->replicaDrainLimit =
-            root.duration("replica_drain_limit", 100ms, 1h, out->replicaDrainLimit);
-    out->replicaReturnTime = root.duration("replica_return_time", 0ms, 1h, out->replicaReturnTime);
+    out->stopTimeout = root.duration("stop_limit", 100ms, 1h, out->stopTimeout);
+    out->replicaDrainTimeout =
+            root.duration("replica_drain_limit", 100ms, 1h, out->replicaDrainTimeout);
+    out->replicaReregistrationTime =
+            root.duration("replica_return_time", 0ms, 1h, out->replicaReregistrationTime);
     root.finish();
     return problems.size() == before ? out : nullptr;
 }
--- a/src/Base/EntrySettings.h
+++ b/src/Base/EntrySettings.h
@@ -29,24 +29,24 @@
 
     /// Without a proof this young that no newer configuration exists, no key is honoured: one that
     /// was taken away may be used no longer than that.
-    Duration keyProofLimit = std::chrono::seconds(5);
+    Duration maxKeyProofAge = std::chrono::seconds(5);
     bool requiresKeyProof = true;
-    Duration configApplyLimit = std::chrono::seconds(2); ///< Within it a change is in force.
+    Duration configApplyTimeout = std::chrono::seconds(2); ///< Within it a change is in force.
 
-    double repeatShare = 0.2; ///< Repeats a request, over all routers.
-    double repeatSlack = 0; ///< Repeats in a window besides, over all routers.
-    Duration repeatWindow = std::chrono::seconds(10);
+    double fleetRetryShare = 0.2; ///< Repeats a request, over all routers.
+    double fleetRetrySlack = 0; ///< Repeats in a window besides, over all routers.
+    Duration fleetRetryWindow = std::chrono::seconds(10);
 
     Duration addressLifetime = std::chrono::seconds(2); ///< For which callers keep an address.
-    Duration stopLimit = std::chrono::seconds(8); ///< From SIGTERM until the process is killed.
+    Duration stopTimeout = std::chrono::seconds(8); ///< From SIGTERM until the process is killed.
     /// Within it a replica that says that it leaves must get no request any more.
-    Duration replicaDrainLimit = std::chrono::seconds(2);
+    Duration replicaDrainTimeout = std::chrono::seconds(2);
     /// Requests that a cold replica may get in one second from all routers together: this many
     /// times what its service states, and the slack.
-    double coldFactor = 1;
-    double coldSlack = 0;
+    double coldRateFactor = 1;
+    double coldRateSlack = 0;
     std::map<std::string, std::string> regions = {}; ///< By failure domain.
-    Duration replicaReturnTime = std::chrono::milliseconds(2200); ///< \sa ReplicaRegistry
+    Duration replicaReregistrationTime = std::chrono::milliseconds(2200); ///< \sa ReplicaRegistry
 
     Mechanisms mechanisms = {};
 
@@ -59,14 +59,14 @@
     std::string regionOf(const std::string &domain) const;
 
     /// \brief Which settings a new file changes, by their names there.
-    struct Adjusted
+    struct UpdateResult
     {
         std::vector<std::string> changed = {}; ///< In force now.
         std::vector<std::string> needsRestart = {}; ///< Not taken over.
     };
 
     /// \brief Takes over from \a next what can change while a process runs.
-    Adjusted adjust(const EntrySettings &next);
+    UpdateResult updateFrom(const EntrySettings &next);
 
     /// \brief Parses and checks \a text, reporting every mistake.
     /// \returns nothing where there was any problem.
--- a/src/Base/FleetStore.h
+++ b/src/Base/FleetStore.h
@@ -26,8 +26,8 @@
     RouteConfigPtr config = {}; ///< Null where nothing changed.
     bool historyLost = false; ///< The changes since are not to be had: read anew.
     std::vector<DomainEvacuation> evacuations =
-            {}; ///< All, or where \a isWhole is not set, changes.
-    bool isWhole = false; ///< Nothing that stands in the store is missing.
+            {}; ///< All, or where \a isComplete is not set, changes.
+    bool isComplete = false; ///< Nothing that stands in the store is missing.
 };
 
 /// \brief The platform's store as far as it holds what operators and replicas wrote.
--- a/src/Base/InventoryParser.cpp
+++ b/src/Base/InventoryParser.cpp
@@ -43,14 +43,14 @@
 /// in the same order.
 template<typename T>
 std::vector<T> merged(const std::vector<std::string_view> &items, const Positions &known,
-                      const std::vector<T> &before, std::vector<T> &&fresh)
+                      const std::vector<T> &before, std::vector<T> &&added)
 {
     std::vector<T> out;
     out.reserve(items.size());
     std::size_t next = 0;
     for (const std::string_view it : items) {
         const auto found = known.find(it);
-        out.push_back(found == known.end() ? std::move(fresh[next++]) : before[found->second]);
+        out.push_back(found == known.end() ? std::move(added[next++]) : before[found->second]);
     }
     return out;
 }
@@ -91,8 +91,8 @@
 
     InventoryPtr parseChanges(const InventoryOutline &next, const std::string &file,
                               std::uint64_t revision);
-    void remember(std::unique_ptr<const std::string> newText, std::optional<InventoryOutline> next,
-                  InventoryPtr inventory);
+    void saveBaseline(std::unique_ptr<const std::string> newText,
+                      std::optional<InventoryOutline> next, InventoryPtr inventory);
 };
 
 InventoryPtr InventoryParser::Private::parseChanges(const InventoryOutline &next,
@@ -126,9 +126,9 @@
     return out;
 }
 
-void InventoryParser::Private::remember(std::unique_ptr<const std::string> newText,
-                                        std::optional<InventoryOutline> next,
-                                        InventoryPtr inventory)
+void InventoryParser::Private::saveBaseline(std::unique_ptr<const std::string> newText,
+                                            std::optional<InventoryOutline> next,
+                                            InventoryPtr inventory)
 {
     const bool isUsable = next && next->engines.size() == inventory->engines.size()
             && next->workspaces.size() == inventory->workspaces.size();
@@ -147,8 +147,8 @@
                                     std::uint64_t revision, YamlProblems &problems)
 {
     // Outlined in the copy that is kept, so that it is done once.
-    auto kept = std::make_unique<const std::string>(text);
-    std::optional<InventoryOutline> next = InventoryOutline::of(*kept);
+    auto textCopy = std::make_unique<const std::string>(text);
+    std::optional<InventoryOutline> next = InventoryOutline::of(*textCopy);
     InventoryPtr out = next ? m_d->parseChanges(*next, file, revision) : nullptr;
     if (!out) {
         out = Inventory::parse(text, file, revision, problems);
@@ -156,7 +156,7 @@
             return nullptr;
         m_d->entriesRead = out->engines.size() + out->workspaces.size();
     }
-    m_d->remember(std::move(kept), std::move(next), out);
+    m_d->saveBaseline(std::move(textCopy), std::move(next), out);
     return out;
 }
 
--- a/src/Base/Reason.cpp
+++ b/src/Base/Reason.cpp
@@ -44,7 +44,7 @@
                    "The connection to the upstream broke before the answer was complete."},
         ReasonInfo{Reason::AnswerMismatch, "answer_mismatch", 502,
                    "The upstream's answer belongs to another request and was discarded."},
-        ReasonInfo{Reason::ClaimStoreDown, "claim_store_down", 503,
+        ReasonInfo{Reason::ClaimStoreUnavailable, "claim_store_down", 503,
                    "The table service could not record the claim of this call."},
         ReasonInfo{Reason::ClaimInProgress, "claim_in_progress", 409,
                    "Another attempt with this idempotency key is being executed."},
@@ -64,7 +64,8 @@
         ReasonInfo{Reason::ConfigInvalid, "config_invalid", 422, "The configuration has errors."},
         ReasonInfo{Reason::ConfigConflict, "config_conflict", 409,
                    "Another change was accepted first."},
-        ReasonInfo{Reason::StoreDown, "store_down", 503, "The table service does not answer."},
+        ReasonInfo{Reason::StoreUnavailable, "store_down", 503,
+                   "The table service does not answer."},
         ReasonInfo{Reason::Internal, "internal", 500, "The router failed; see its log."},
 };
 
--- a/src/Base/Reason.h
+++ b/src/Base/Reason.h
@@ -33,7 +33,7 @@
     UpstreamTimeout,
     UpstreamBroken,
     AnswerMismatch,
-    ClaimStoreDown,
+    ClaimStoreUnavailable,
     ClaimInProgress,
     KeyReused,
     OutcomeUnknown,
@@ -45,7 +45,7 @@
     RequestQuarantined,
     ConfigInvalid,
     ConfigConflict,
-    StoreDown,
+    StoreUnavailable,
     Internal,
 };
 
--- a/src/Base/ReplicaRecord.h
+++ b/src/Base/ReplicaRecord.h
@@ -27,7 +27,7 @@
     std::int64_t startedAt = 0; ///< Unix time of its start in milliseconds; 0: not told.
     /// How long it stays cold from when its entry was read: it bears few requests a second, and
     /// ends above.
-    Duration coldFor = Duration::zero();
+    Duration coldDuration = Duration::zero();
     TimePoint coldUntil = {}; ///< The same by this process's clock, once the registry has it.
 
     /// \returns what tells this start of the replica from others under the same id. Counts, health
@@ -38,7 +38,7 @@
     }
 
     /// \returns \a ms as the time for which a replica says that it stays cold, at most an hour.
-    static Duration coldTime(double ms)
+    static Duration coldDurationFromMs(double ms)
     {
         constexpr double MaxMs = 3'600'000;
         return fromSeconds(ms > 0 ? std::min(ms, MaxMs) / 1000 : 0);
--- a/src/Base/RequestTrace.cpp
+++ b/src/Base/RequestTrace.cpp
@@ -86,7 +86,7 @@
     return {};
 }
 
-bool isBelief(const std::string &event)
+bool isReplicaEvent(const std::string &event)
 {
     return event.starts_with("replica_");
 }
@@ -134,14 +134,14 @@
         m_crashes.push_back(std::move(event));
     else if (event.requestId == m_requestId)
         m_events.push_back(std::move(event));
-    else if (isBelief(event.name))
-        m_beliefs.push_back(std::move(event));
+    else if (isReplicaEvent(event.name))
+        m_replicaEvents.push_back(std::move(event));
 }
 
-std::vector<RequestTrace::Event> RequestTrace::relatedBeliefs() const
+std::vector<RequestTrace::Event> RequestTrace::relatedReplicaEvents() const
 {
     std::vector<Event> out;
-    for (const Event &it : m_beliefs) {
+    for (const Event &it : m_replicaEvents) {
         const bool used = std::any_of(m_events.begin(), m_events.end(), [&](const Event &event) {
             return event.replica == it.replica && event.source == it.source;
         });
@@ -164,12 +164,12 @@
     return out;
 }
 
-std::string RequestTrace::account() const
+std::string RequestTrace::summary() const
 {
     std::string out = fmt::format("request {}\n", m_requestId);
     for (const Event &it : m_events)
         out += fmt::format("  {} {}: {}\n", it.time, it.source, it.sentence);
-    for (const Event &it : relatedBeliefs())
+    for (const Event &it : relatedReplicaEvents())
         out += fmt::format("  meanwhile {} {}: {} {}\n", it.time, it.source, it.name, it.replica);
     for (const Event &it : relatedCrashes())
         out += fmt::format("  evidence {} {}: {}\n", it.time, it.source, it.sentence);
--- a/src/Base/RequestTrace.h
+++ b/src/Base/RequestTrace.h
@@ -19,7 +19,7 @@
 
     /// \returns the account: what happened in order, what the routers learnt meanwhile of the
     /// replicas it was sent to, and the cause of its end.
-    std::string account() const;
+    std::string summary() const;
 
     /// \returns whether any line names the request.
     bool isKnown() const { return !m_events.empty(); }
@@ -40,12 +40,12 @@
     };
 
     void addLine(std::string_view line);
-    std::vector<Event> relatedBeliefs() const;
+    std::vector<Event> relatedReplicaEvents() const;
     std::vector<Event> relatedCrashes() const;
 
     std::string m_requestId;
     std::vector<Event> m_events; ///< Of the request.
-    std::vector<Event> m_beliefs; ///< What routers learnt of replicas.
+    std::vector<Event> m_replicaEvents; ///< What routers learnt of replicas.
     std::vector<Event> m_crashes; ///< Replicas that ended while they ran a request.
     std::size_t m_skipped = 0;
 };
--- a/src/Base/YamlSection.cpp
+++ b/src/Base/YamlSection.cpp
@@ -253,8 +253,8 @@
         return std::nullopt;
     const auto count = parseNumber<std::int64_t>(text.substr(0, n));
     for (const DurationUnit &it : DurationUnits) {
-        const std::int64_t most = Duration::max().count() / it.length.count();
-        if (count && it.name == text.substr(n) && *count <= most)
+        const std::int64_t maxCount = Duration::max().count() / it.length.count();
+        if (count && it.name == text.substr(n) && *count <= maxCount)
             return it.length * *count;
     }
     return std::nullopt;
--- a/src/Base/internal/InventoryOutline.cpp
+++ b/src/Base/internal/InventoryOutline.cpp
@@ -48,18 +48,18 @@
 {
     if (line.starts_with("---") || line.starts_with("..."))
         return false;
-    std::size_t singles = 0;
-    std::size_t doubles = 0;
+    std::size_t singleQuotes = 0;
+    std::size_t doubleQuotes = 0;
     for (const char c : line) {
-        singles += c == '\'' ? 1 : 0;
-        doubles += c == '"' ? 1 : 0;
+        singleQuotes += c == '\'' ? 1 : 0;
+        doubleQuotes += c == '"' ? 1 : 0;
         if (IsSpecial[static_cast<unsigned char>(c)])
             return false;
     }
-    return singles % 2 == 0 && doubles % 2 == 0;
+    return singleQuotes % 2 == 0 && doubleQuotes % 2 == 0;
 }
 
-std::optional<Block> openBlock(std::string_view line)
+std::optional<Block> parseBlockStart(std::string_view line)
 {
     const std::size_t colon = line.find(':');
     const std::string_view key = line.substr(0, colon);
@@ -89,7 +89,7 @@
         if (!isPlainLine(line))
             return std::nullopt;
         if (line.front() != ' ' && line.front() != '-') {
-            const auto block = openBlock(line);
+            const auto block = parseBlockStart(line);
             if (!block || !keys.insert(block->key).second)
                 return std::nullopt;
             out.push_back(*block);
@@ -112,8 +112,8 @@
     for (const std::string_view line : block.lines) {
         if (out.empty())
             indent = indentOf(line);
-        const bool opens = indentOf(line) == indent && trimmed(line).starts_with("- ");
-        if (opens)
+        const bool startsItem = indentOf(line) == indent && trimmed(line).starts_with("- ");
+        if (startsItem)
             out.push_back(line);
         else if (out.empty() || indentOf(line) <= indent)
             return std::nullopt;
--- a/src/Base/internal/InventoryReader.cpp
+++ b/src/Base/internal/InventoryReader.cpp
@@ -141,7 +141,7 @@
     }
 }
 
-void readPeople(YamlSection &root, Inventory &out)
+void readWorkspacesAndOperators(YamlSection &root, Inventory &out)
 {
     UniqueNames names;
     UniqueNames keys;
@@ -158,11 +158,11 @@
         out.workspaces.push_back(std::move(workspace));
     }
     for (YamlSection &it : root.sections("operators")) {
-        Operator person;
-        person.name = it.text("name");
-        person.keySha256 = readKeyHash(it, keys);
+        Operator newOperator;
+        newOperator.name = it.text("name");
+        newOperator.keySha256 = readKeyHash(it, keys);
         it.finish();
-        out.operators.push_back(std::move(person));
+        out.operators.push_back(std::move(newOperator));
     }
 }
 
@@ -188,7 +188,7 @@
     readPlaces(root, out);
     readEngines(root, out);
     readServices(root, out);
-    readPeople(root, out);
+    readWorkspacesAndOperators(root, out);
     readRules(root.section("rules"), out.rules);
     root.finish();
 }
--- a/src/Cli/ApplyCommand.cpp
+++ b/src/Cli/ApplyCommand.cpp
@@ -18,7 +18,7 @@
 int runApply(std::span<char *const> arguments)
 {
     if (arguments.empty() || arguments.size() > 2) {
-        internal::complain("usage: catkinloft apply INVENTORY [BASE]");
+        internal::printError("usage: catkinloft apply INVENTORY [BASE]");
         return exit_code::Usage;
     }
     const auto text = internal::readArgument(arguments[0]);
@@ -27,12 +27,12 @@
     YamlProblems problems;
     Inventory::parse(*text, arguments[0], 1, problems);
     for (const YamlProblem &it : problems)
-        internal::complain(it.text());
+        internal::printError(it.text());
     if (!problems.empty())
         return exit_code::Usage;
     const Result<internal::CurrentConfig> before = internal::readConfig();
     if (!before) {
-        internal::complain(before.error().detail);
+        internal::printError(before.error().detail);
         return exit_code::Failed;
     }
     fmt::print("{}", describeDelta(before.value().text, *text, MaxDiffLines));
--- a/src/Cli/CheckCommand.cpp
+++ b/src/Cli/CheckCommand.cpp
@@ -10,7 +10,7 @@
 int runCheck(std::span<char *const> arguments)
 {
     if (arguments.empty()) {
-        internal::complain("usage: catkinloft check FILE...");
+        internal::printError("usage: catkinloft check FILE...");
         return exit_code::Usage;
     }
     YamlProblems problems;
--- a/src/Cli/EntryCommand.cpp
+++ b/src/Cli/EntryCommand.cpp
@@ -25,8 +25,8 @@
 {
     const char *path = settingsPath(arguments);
     if (arguments.size() > 1 || !path) {
-        internal::complain("usage: catkinloft entry [SETTINGS], or with the path in "
-                           "CATKINLOFT_CONFIG");
+        internal::printError("usage: catkinloft entry [SETTINGS], or with the path in "
+                             "CATKINLOFT_CONFIG");
         return exit_code::Usage;
     }
     const auto text = internal::readArgument(path);
@@ -35,7 +35,7 @@
     YamlProblems problems;
     const auto settings = EntrySettings::parse(*text, path, problems);
     for (const YamlProblem &it : problems)
-        internal::complain(it.text());
+        internal::printError(it.text());
     if (!settings)
         return exit_code::Usage;
     EntryProcess process(*settings, path, platform::makeAdapter());
--- a/src/Cli/ExplainCommand.cpp
+++ b/src/Cli/ExplainCommand.cpp
@@ -16,12 +16,12 @@
     YamlProblems problems;
     const auto settings = text ? Settings::parse(*text, file, problems) : nullptr;
     if (!settings) {
-        internal::complain(fmt::format("can not use {} as settings", file));
+        internal::printError(fmt::format("can not use {} as settings", file));
         return exit_code::Usage;
     }
     const Result<Refusal> refusal = decodeRefusal(token, settings->refusalKeys);
     if (!refusal) {
-        internal::complain(refusal.error().detail);
+        internal::printError(refusal.error().detail);
         return exit_code::Failed;
     }
     fmt::print("{}", explainRefusal(refusal.value()));
@@ -33,17 +33,17 @@
 int runExplain(std::span<char *const> arguments)
 {
     if (arguments.empty() || arguments.size() > 2) {
-        internal::complain("usage: catkinloft explain TOKEN [SETTINGS]");
+        internal::printError("usage: catkinloft explain TOKEN [SETTINGS]");
         return exit_code::Usage;
     }
     if (arguments.size() == 2)
         return explainOffline(arguments[0], arguments[1]);
     const Result<HttpAnswer> answer =
-            internal::fetchNow({.address = internal::routerAddress(),
-                                .target = fmt::format("/v1/explain?token={}", arguments[0]),
-                                .headers = internal::authorization()});
+            internal::fetchBlocking({.address = internal::routerAddress(),
+                                     .target = fmt::format("/v1/explain?token={}", arguments[0]),
+                                     .headers = internal::authorization()});
     if (!answer) {
-        internal::complain(answer.error().detail);
+        internal::printError(answer.error().detail);
         return exit_code::Failed;
     }
     fmt::print("{}", answer.value().body);
--- a/src/Cli/HistoryCommand.cpp
+++ b/src/Cli/HistoryCommand.cpp
@@ -15,7 +15,7 @@
 {
     const Result<Json::Value> answer = internal::fetchJson("/v1/history");
     if (!answer) {
-        internal::complain(answer.error().detail);
+        internal::printError(answer.error().detail);
         return exit_code::Failed;
     }
     for (const Json::Value &it : answer.value()["changes"]) {
--- a/src/Cli/RollbackCommand.cpp
+++ b/src/Cli/RollbackCommand.cpp
@@ -11,12 +11,12 @@
 {
     const std::string revision = arguments.size() == 1 ? arguments[0] : "";
     if (revision.empty() || revision.find_first_not_of("0123456789") != std::string::npos) {
-        internal::complain("usage: catkinloft rollback REVISION");
+        internal::printError("usage: catkinloft rollback REVISION");
         return exit_code::Usage;
     }
     const Result<internal::CurrentConfig> before = internal::readConfig();
     if (!before) {
-        internal::complain(before.error().detail);
+        internal::printError(before.error().detail);
         return exit_code::Failed;
     }
     return internal::sendConfig("/v1/config?rollback=" + revision, before.value().tag, {});
--- a/src/Cli/RouterCommand.cpp
+++ b/src/Cli/RouterCommand.cpp
@@ -9,7 +9,7 @@
 int runRouter(std::span<char *const> arguments)
 {
     if (arguments.size() != 1) {
-        internal::complain("usage: catkinloft router SETTINGS");
+        internal::printError("usage: catkinloft router SETTINGS");
         return exit_code::Usage;
     }
     const auto text = internal::readArgument(arguments[0]);
@@ -18,7 +18,7 @@
     YamlProblems problems;
     const auto settings = Settings::parse(*text, arguments[0], problems);
     for (const YamlProblem &it : problems)
-        internal::complain(it.text());
+        internal::printError(it.text());
     if (!settings)
         return exit_code::Usage;
     Log::setSource(settings->name);
--- a/src/Cli/StatusCommand.cpp
+++ b/src/Cli/StatusCommand.cpp
@@ -58,7 +58,7 @@
 {
     const Result<Json::Value> report = internal::fetchJson("/v1/status");
     if (!report) {
-        internal::complain(report.error().detail);
+        internal::printError(report.error().detail);
         return exit_code::Failed;
     }
     if (FLAGS_json)
--- a/src/Cli/TraceCommand.cpp
+++ b/src/Cli/TraceCommand.cpp
@@ -10,7 +10,7 @@
 int runTrace(std::span<char *const> arguments)
 {
     if (arguments.size() < 2) {
-        internal::complain("usage: catkinloft trace REQUEST_ID LOG...");
+        internal::printError("usage: catkinloft trace REQUEST_ID LOG...");
         return exit_code::Usage;
     }
     RequestTrace trace(arguments[0]);
@@ -21,10 +21,10 @@
         trace.addLog(*text);
     }
     if (!trace.isKnown()) {
-        internal::complain(fmt::format("no line of these logs names request {}", arguments[0]));
+        internal::printError(fmt::format("no line of these logs names request {}", arguments[0]));
         return exit_code::Failed;
     }
-    fmt::print("{}", trace.account());
+    fmt::print("{}", trace.summary());
     return exit_code::Ok;
 }
 
--- a/src/Cli/WhereCommand.cpp
+++ b/src/Cli/WhereCommand.cpp
@@ -27,9 +27,9 @@
     if (arguments.size() > 1)
         target += "&chat=" + encoded(arguments[1]);
     const Result<HttpAnswer> answer =
-            internal::fetchNow({.address = internal::routerAddress(), .target = target});
+            internal::fetchBlocking({.address = internal::routerAddress(), .target = target});
     if (!answer) {
-        internal::complain(answer.error().detail);
+        internal::printError(answer.error().detail);
         return exit_code::Failed;
     }
     fmt::print("{}", answer.value().body);
--- a/src/Cli/internal/ConfigRequest.cpp
+++ b/src/Cli/internal/ConfigRequest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Times that a change whose answer was lost is sent again.
-constexpr int MaxTries = 3;
+constexpr int MaxAttempts = 3;
 
 std::string changeId()
 {
@@ -27,7 +27,7 @@
 }
 
 /// \returns whether the router itself could not find out if the change was accepted.
-bool isUnsettled(const HttpAnswer &answer)
+bool isOutcomeUnknown(const HttpAnswer &answer)
 {
     return answer.head.status == 503 && answer.body.find("\"may_have_run\"") != std::string::npos;
 }
@@ -36,7 +36,7 @@
 
 Result<CurrentConfig> readConfig()
 {
-    const Result<HttpAnswer> answer = fetchNow(
+    const Result<HttpAnswer> answer = fetchBlocking(
             {.address = routerAddress(), .target = "/v1/config", .headers = authorization()});
     if (!answer)
         return answer.error();
@@ -52,25 +52,25 @@
     headers.emplace_back("If-Match", tag);
     headers.emplace_back("Idempotency-Key", changeId());
     Result<HttpAnswer> answer = Error{};
-    for (int i = 0; i < MaxTries; ++i) {
-        answer = fetchNow({.address = routerAddress(),
-                           .method = "PUT",
-                           .target = target,
-                           .headers = headers,
-                           .body = body});
-        if (answer ? !isUnsettled(answer.value()) : answer.error().verdict == Verdict::NotRun)
+    for (int i = 0; i < MaxAttempts; ++i) {
+        answer = fetchBlocking({.address = routerAddress(),
+                                .method = "PUT",
+                                .target = target,
+                                .headers = headers,
+                                .body = body});
+        if (answer ? !isOutcomeUnknown(answer.value()) : answer.error().verdict == Verdict::NotRun)
             break;
     }
     if (!answer) {
-        complain(answer.error().detail);
+        printError(answer.error().detail);
         if (answer.error().verdict == Verdict::NotRun)
             return exit_code::Failed;
-        complain(fmt::format("not known whether it was accepted; repeat with --change_id={}",
-                             headers.back().second));
+        printError(fmt::format("not known whether it was accepted; repeat with --change_id={}",
+                               headers.back().second));
         return exit_code::Unknown;
     }
     fmt::print("{}", answer.value().body);
-    if (isUnsettled(answer.value()))
+    if (isOutcomeUnknown(answer.value()))
         return exit_code::Unknown;
     return answer.value().head.status == 200 ? exit_code::Ok : exit_code::Failed;
 }
--- a/src/Cli/internal/Tools.cpp
+++ b/src/Cli/internal/Tools.cpp
@@ -32,17 +32,17 @@
 {
     auto text = readFile(path);
     if (!text)
-        complain(fmt::format("can not read {}", path));
+        printError(fmt::format("can not read {}", path));
     return text;
 }
 
-Result<HttpAnswer> fetchNow(HttpCall call)
+Result<HttpAnswer> fetchBlocking(HttpCall call)
 {
     EventLoop loop;
     TlsContext tls({.certificateFile = {}, .keyFile = {}, .caFile = FLAGS_ca});
     if (const Result<void> result = tls.load(loop.wallNow()); !result)
         return result.error();
-    call.secure = tls.checksUpstreams();
+    call.secure = tls.verifiesUpstreams();
     HttpClient client(loop, &tls);
     std::optional<Result<HttpAnswer>> out;
     client.fetch(std::move(call), [&](Result<HttpAnswer> answer) {
@@ -55,8 +55,8 @@
 
 Result<Json::Value> fetchJson(const std::string &target)
 {
-    const Result<HttpAnswer> answer =
-            fetchNow({.address = routerAddress(), .target = target, .headers = authorization()});
+    const Result<HttpAnswer> answer = fetchBlocking(
+            {.address = routerAddress(), .target = target, .headers = authorization()});
     if (!answer)
         return answer.error();
     if (answer.value().head.status != 200)
@@ -77,7 +77,7 @@
     return {{"Authorization", fmt::format("Bearer {}", key)}};
 }
 
-void complain(const std::string &text)
+void printError(const std::string &text)
 {
     fmt::print(stderr, "catkinloft: {}\n", text);
 }
--- a/src/Cli/internal/Tools.h
+++ b/src/Cli/internal/Tools.h
@@ -16,7 +16,7 @@
 std::optional<std::string> readArgument(const char *path);
 
 /// \brief Sends \a call and waits for its answer.
-Result<HttpAnswer> fetchNow(HttpCall call);
+Result<HttpAnswer> fetchBlocking(HttpCall call);
 
 /// \brief Reads the JSON object at \a target of a router, as an operator.
 Result<Json::Value> fetchJson(const std::string &target);
@@ -29,6 +29,6 @@
 HttpHeaders authorization();
 
 /// \brief Prints \a text to standard error after the program's name.
-void complain(const std::string &text);
+void printError(const std::string &text);
 
 } // namespace catkinloft::internal
--- a/src/Control/ConfigManager.cpp
+++ b/src/Control/ConfigManager.cpp
@@ -36,7 +36,7 @@
 
 Error storeUnavailable(const Error &error, Verdict verdict)
 {
-    return {.reason = Reason::StoreDown,
+    return {.reason = Reason::StoreUnavailable,
             .verdict = verdict,
             .detail = error.detail,
             .retryAfter = std::chrono::seconds(1)};
@@ -158,7 +158,7 @@
         // The table was restored from a backup: routers would ignore a new revision above its head
         // as too old. A revision received from a peer during the read is not compared, because the
         // answer may only be outdated; the commit below detects that case.
-        it->done(Error{.reason = Reason::StoreDown,
+        it->done(Error{.reason = Reason::StoreUnavailable,
                        .detail = fmt::format("the table service returned revision {}, but revision "
                                              "{} is active on this router",
                                              head.digest.revision, it->activeRevision)});
@@ -277,7 +277,7 @@
 void ConfigManager::resolveOutcomeLater(const ProposalPtr &it)
 {
     if (++it->resolveAttempts > MaxResolveAttempts) {
-        it->done(Error{.reason = Reason::StoreDown,
+        it->done(Error{.reason = Reason::StoreUnavailable,
                        .verdict = Verdict::MayHaveRun,
                        .detail = "the table service did not report whether the change was "
                                  "accepted; send it again with change id "
@@ -314,7 +314,7 @@
         m_options.objects.get(
                 record->object, [this, change, done](Result<std::optional<std::string>> body) {
                     if (!body || !body.value()) {
-                        done(Error{.reason = Reason::StoreDown,
+                        done(Error{.reason = Reason::StoreUnavailable,
                                    .detail = "the text of the revision cannot be read now"});
                         return;
                     }
--- a/src/Control/FleetView.cpp
+++ b/src/Control/FleetView.cpp
@@ -205,7 +205,7 @@
 {
     // The freshness proof is no evidence here: another router may have renewed it.
     return !it.leaving && !it.storeFailing
-            && it.storeUnansweredFor <= scaled(m_options.configApplyLimit, MaxUnansweredFraction)
+            && it.storeUnansweredFor <= scaled(m_options.configApplyTimeout, MaxUnansweredFraction)
             && !isSuspect(std::string(it.name));
 }
 
--- a/src/Control/FleetView.h
+++ b/src/Control/FleetView.h
@@ -33,7 +33,7 @@
         /// A router without a heartbeat for this long is not named to callers; almost four
         /// heartbeat intervals.
         Duration heartbeatTimeout = std::chrono::milliseconds(1500);
-        Duration configApplyLimit =
+        Duration configApplyTimeout =
                 std::chrono::seconds(2); ///< In which changes must become active.
         /// How long a router without heartbeats still counts as one that shares limits.
         Duration sharingTimeout = std::chrono::seconds(30);
@@ -71,7 +71,7 @@
     explicit FleetView(Options options) : m_options(std::move(options)) { }
 
     /// \brief Sets the time in which changes must become active.
-    void setConfigApplyLimit(Duration limit) { m_options.configApplyLimit = limit; }
+    void setConfigApplyTimeout(Duration limit) { m_options.configApplyTimeout = limit; }
 
     /// \brief Handles a received heartbeat.
     /// \returns false if it was sent by this router or is not newer than the last one of its
--- a/src/Control/PeerCatchUp.cpp
+++ b/src/Control/PeerCatchUp.cpp
@@ -16,9 +16,10 @@
 
 bool PeerCatchUp::shouldFetchFrom(const RouterHeartbeat &heartbeat, const Known &own) const
 {
-    const bool fresh = heartbeat.proofAge < scaled(m_options.configApplyLimit, FreshProofFraction);
+    const bool fresh =
+            heartbeat.proofAge < scaled(m_options.configApplyTimeout, FreshProofFraction);
     const bool proof =
-            fresh && own.proofAge > scaled(m_options.configApplyLimit, StaleProofFraction);
+            fresh && own.proofAge > scaled(m_options.configApplyTimeout, StaleProofFraction);
     const bool config = heartbeat.revision > own.revision;
     const bool replicas = heartbeat.replicasHash != own.replicasHash
             && heartbeat.replicasVersion > own.replicasVersion;
@@ -32,7 +33,7 @@
 
 Duration PeerCatchUp::maxPeerProofAge() const
 {
-    return m_options.configApplyLimit;
+    return m_options.configApplyTimeout;
 }
 
 } // namespace catkinloft
--- a/src/Control/PeerCatchUp.h
+++ b/src/Control/PeerCatchUp.h
@@ -18,12 +18,12 @@
 public:
     struct Options
     {
-        Duration configApplyLimit =
+        Duration configApplyTimeout =
                 std::chrono::seconds(2); ///< In which changes must become active.
     };
 
     /// \brief Sets the time in which changes must become active.
-    void setConfigApplyLimit(Duration limit) { m_options.configApplyLimit = limit; }
+    void setConfigApplyTimeout(Duration limit) { m_options.configApplyTimeout = limit; }
 
     /// \brief State of this router.
     struct Known
--- a/src/Control/ReplicaRegistry.cpp
+++ b/src/Control/ReplicaRegistry.cpp
@@ -37,7 +37,8 @@
                                              TimePoint readStartedAt)
 {
     for (ReplicaRecord &it : list)
-        it.coldUntil = it.coldFor > Duration::zero() ? readStartedAt + it.coldFor : TimePoint();
+        it.coldUntil =
+                it.coldDuration > Duration::zero() ? readStartedAt + it.coldDuration : TimePoint();
     return list;
 }
 
@@ -47,7 +48,8 @@
     for (const ReplicaRecord &it : list) {
         out = hashCombine(out, hash64(it.incarnation()));
         out = hashCombine(out, hash64(it.address));
-        out = hashCombine(out, (it.draining ? 1U : 0U) + (it.coldFor > Duration::zero() ? 2U : 0U));
+        out = hashCombine(out,
+                          (it.draining ? 1U : 0U) + (it.coldDuration > Duration::zero() ? 2U : 0U));
     }
     return out;
 }
@@ -117,8 +119,9 @@
             out.replicas.push_back(it);
     }
     for (ReplicaRecord &it : out.replicas) {
-        if (it.coldFor > Duration::zero())
-            it.coldFor = std::max<Duration>(std::chrono::milliseconds(1), it.coldUntil - m_readAt);
+        if (it.coldDuration > Duration::zero())
+            it.coldDuration =
+                    std::max<Duration>(std::chrono::milliseconds(1), it.coldUntil - m_readAt);
     }
     for (std::size_t i = 0; isKnown && i < base->replicas.size(); ++i) {
         if (!findRecord(m_registered, base->replicas[i].id))
--- a/src/Control/ReplicaUpdate.cpp
+++ b/src/Control/ReplicaUpdate.cpp
@@ -22,9 +22,9 @@
     out["sequence"] = static_cast<Json::Int64>(it.sequence);
     if (it.startedAt != 0)
         out["started"] = static_cast<Json::Int64>(it.startedAt);
-    if (it.coldFor > Duration::zero())
+    if (it.coldDuration > Duration::zero())
         out["cold_ms"] = static_cast<Json::Int64>(
-                std::chrono::ceil<std::chrono::milliseconds>(it.coldFor).count());
+                std::chrono::ceil<std::chrono::milliseconds>(it.coldDuration).count());
     return out;
 }
 
@@ -39,7 +39,7 @@
             .draining = it["draining"].asBool(),
             .sequence = it["sequence"].asInt64(),
             .startedAt = it["started"].asInt64(),
-            .coldFor = ReplicaRecord::coldTime(it["cold_ms"].asDouble())};
+            .coldDuration = ReplicaRecord::coldDurationFromMs(it["cold_ms"].asDouble())};
 }
 
 } // namespace
--- a/src/Decide/ReplicaPool.cpp
+++ b/src/Decide/ReplicaPool.cpp
@@ -296,7 +296,7 @@
 
 bool ReplicaPool::isEjectedByPeers(const State &it) const
 {
-    return m_options.mechanisms.toldEjections && it.ejectedByPeers >= MinPeerEjections
+    return m_options.mechanisms.announcedEjections && it.ejectedByPeers >= MinPeerEjections
             && it.health.state == HealthTracker::State::Healthy
             && m_options.clock.now() - it.lastSuccessAt > OwnSuccessLifetime;
 }
--- a/src/Net/ClaimPump.h
+++ b/src/Net/ClaimDriver.h
@@ -11,7 +11,7 @@
 class EventLoop;
 
 /// \brief Drives ClaimManager and ClaimSweeper by the event loop.
-class ClaimPump
+class ClaimDriver
 {
 public:
     struct Options
@@ -25,9 +25,9 @@
         std::function<std::size_t()> routers; ///< How many share the sweeping.
     };
 
-    explicit ClaimPump(Options options);
+    explicit ClaimDriver(Options options);
 
-    ClaimManager &keeper() { return m_keeper; }
+    ClaimManager &manager() { return m_manager; }
 
 private:
     void schedule();
@@ -36,7 +36,7 @@
     EventLoop &m_loop;
     bool m_started = false;
     Timer m_timer;
-    ClaimManager m_keeper;
+    ClaimManager m_manager;
     ClaimSweeper m_sweeper;
 };
 
--- a/src/Net/CrashWatch.cpp
+++ b/src/Net/CrashWatch.cpp
@@ -23,25 +23,25 @@
 
 /// A connection within a region takes milliseconds; the request waits for it before it is sent
 /// elsewhere.
-constexpr Duration ConnectLimit = 150ms;
+constexpr Duration ConnectTimeout = 150ms;
 
 /// How long a proxy has to find that nothing listens behind it.
-constexpr Duration CloseLimit = 100ms;
+constexpr Duration CloseTimeout = 100ms;
 
 /// How long it is remembered that a replica ended, for the other requests that ran on it. One that
 /// has no name of its own for each start may be back later.
-constexpr Duration EndMemory = 1s;
+constexpr Duration CrashMemory = 1s;
 
-enum class Finding : std::uint8_t {
+enum class ProbeResult : std::uint8_t {
     Unknown,
     Connected, ///< Something listens there.
-    Ended,
+    Crashed,
 };
 
-struct Waiting
+struct PendingCheck
 {
-    CrashWatch::BrokenRun run;
-    CrashWatch::Patience patience = CrashWatch::Patience::Short;
+    CrashWatch::BrokenAttempt attempt;
+    CrashWatch::AliveCriterion criterion = CrashWatch::AliveCriterion::Accepts;
     std::function<void(bool)> decided; ///< Null once it was called.
 };
 
@@ -49,16 +49,16 @@
 class Probe
 {
 public:
-    Probe(EventLoop &loop, const std::string &address, std::function<void(Finding)> found)
-        : m_found(std::move(found)), m_limit(loop, [this] { m_found(m_atLimit); })
+    Probe(EventLoop &loop, const std::string &address, std::function<void(ProbeResult)> found)
+        : m_found(std::move(found)), m_timeout(loop, [this] { m_found(m_resultAtTimeout); })
     {
         const int error = connect(address);
         if (error != EINPROGRESS) {
-            m_atLimit = error == ECONNREFUSED ? Finding::Ended : Finding::Unknown;
-            m_limit.start(Duration::zero());
+            m_resultAtTimeout = error == ECONNREFUSED ? ProbeResult::Crashed : ProbeResult::Unknown;
+            m_timeout.start(Duration::zero());
             return;
         }
-        m_limit.start(ConnectLimit);
+        m_timeout.start(ConnectTimeout);
         m_ready = event_new(
                 loop.base(), m_socket, EV_WRITE,
                 [](evutil_socket_t, short, void *arg) { static_cast<Probe *>(arg)->connected(); },
@@ -99,26 +99,26 @@
         socklen_t length = sizeof error;
         getsockopt(m_socket, SOL_SOCKET, SO_ERROR, &error, &length);
         if (error != 0)
-            return m_found(error == ECONNREFUSED ? Finding::Ended : Finding::Unknown);
+            return m_found(error == ECONNREFUSED ? ProbeResult::Crashed : ProbeResult::Unknown);
         event_assign(
                 m_ready, event_get_base(m_ready), m_socket, EV_READ,
                 [](evutil_socket_t, short, void *arg) { static_cast<Probe *>(arg)->readable(); },
                 this);
         event_add(m_ready, nullptr);
-        m_limit.start(CloseLimit);
-        m_found(Finding::Connected);
+        m_timeout.start(CloseTimeout);
+        m_found(ProbeResult::Connected);
     }
 
     /// Nothing was asked, so an end is what there is to read.
     void readable()
     {
         char byte = 0;
-        m_found(recv(m_socket, &byte, 1, 0) == 1 ? Finding::Unknown : Finding::Ended);
+        m_found(recv(m_socket, &byte, 1, 0) == 1 ? ProbeResult::Unknown : ProbeResult::Crashed);
     }
 
-    std::function<void(Finding)> m_found;
-    Finding m_atLimit = Finding::Unknown;
-    Timer m_limit;
+    std::function<void(ProbeResult)> m_found;
+    ProbeResult m_resultAtTimeout = ProbeResult::Unknown;
+    Timer m_timeout;
     evutil_socket_t m_socket = -1;
     event *m_ready = nullptr;
 };
@@ -128,7 +128,7 @@
     TimePoint brokeAt; ///< The first of the runs.
     std::unique_ptr<Probe> probe;
     bool connected = false;
-    std::vector<Waiting> waiting;
+    std::vector<PendingCheck> waiting;
 };
 
 } // namespace
@@ -137,70 +137,71 @@
 {
     explicit Private(Options o) : options(std::move(o)) { }
 
-    void found(const std::string &replica, Finding finding);
-    void noteEnd(const BrokenRun &run, TimePoint endedAt);
+    void found(const std::string &replica, ProbeResult result);
+    void reportCrash(const BrokenAttempt &attempt, TimePoint crashedAt);
     void finish(const std::string &replica);
     void forgetOld();
 
     Options options;
     std::map<std::string, Check> checks; ///< By replica.
-    std::map<std::string, TimePoint> ended; ///< By replica, when that was found.
+    std::map<std::string, TimePoint> crashed; ///< By replica, when that was found.
 };
 
 CrashWatch::CrashWatch(Options options) : m_d(std::make_unique<Private>(std::move(options))) { }
 
 CrashWatch::~CrashWatch() = default;
 
-void CrashWatch::runBroke(BrokenRun run, Patience patience, std::function<void(bool)> decided)
+void CrashWatch::checkReplica(BrokenAttempt attempt, AliveCriterion criterion,
+                              std::function<void(bool)> decided)
 {
     m_d->forgetOld();
-    const auto ended = m_d->ended.find(run.replica);
-    if (ended != m_d->ended.end()) {
-        m_d->noteEnd(run, ended->second);
+    const auto crashed = m_d->crashed.find(attempt.replica);
+    if (crashed != m_d->crashed.end()) {
+        m_d->reportCrash(attempt, crashed->second);
         m_d->options.loop.post([decided = std::move(decided)] { decided(true); });
         return;
     }
-    const std::string replica = run.replica;
-    const std::string address = run.address;
+    const std::string replica = attempt.replica;
+    const std::string address = attempt.address;
     Check &check = m_d->checks[replica];
-    check.waiting.push_back({std::move(run), patience, std::move(decided)});
+    check.waiting.push_back({std::move(attempt), criterion, std::move(decided)});
     if (!check.probe) {
         check.brokeAt = m_d->options.loop.now();
         check.probe = std::make_unique<Probe>(
                 m_d->options.loop, address,
-                [d = m_d.get(), replica](Finding it) { d->found(replica, it); });
-    } else if (check.connected && patience == Patience::Short) {
+                [d = m_d.get(), replica](ProbeResult it) { d->found(replica, it); });
+    } else if (check.connected && criterion == AliveCriterion::Accepts) {
         const auto late = std::exchange(check.waiting.back().decided, nullptr);
         m_d->options.loop.post([late] { late(false); });
     }
 }
 
-void CrashWatch::Private::found(const std::string &replica, Finding finding)
+void CrashWatch::Private::found(const std::string &replica, ProbeResult result)
 {
     Check &check = checks[replica];
-    if (finding == Finding::Ended) {
-        ended[replica] = check.brokeAt;
+    if (result == ProbeResult::Crashed) {
+        crashed[replica] = check.brokeAt;
         options.metrics.count("catkinloft_replica_ends_total");
         Log::warning("replica_ended",
                      {{"replica", replica},
-                      {"address", check.waiting.front().run.address},
+                      {"address", check.waiting.front().attempt.address},
                       {"requests", check.waiting.size()}});
         options.replicaCrashed(replica);
-        for (const Waiting &it : check.waiting)
-            noteEnd(it.run, check.brokeAt);
+        for (const PendingCheck &it : check.waiting)
+            reportCrash(it.attempt, check.brokeAt);
     }
-    check.connected = finding == Finding::Connected;
+    check.connected = result == ProbeResult::Connected;
     // The hooks may ask for the next check.
     std::vector<std::function<void(bool)>> hooks;
-    for (Waiting &it : check.waiting) {
-        const bool waits = check.connected && it.patience == Patience::Long;
-        if (it.decided && !waits)
+    for (PendingCheck &it : check.waiting) {
+        const bool isPending = check.connected && it.criterion == AliveCriterion::StaysOpen;
+        if (it.decided && !isPending)
             hooks.push_back(std::exchange(it.decided, nullptr));
     }
     if (!check.connected)
         finish(replica);
     for (const auto &it : hooks)
-        it(finding == Finding::Ended);
+        it(result == ProbeResult::Crashed);
 }
 
 /// The probe may not be freed from within its own callback.
@@ -210,23 +211,23 @@
     options.loop.post([held = std::shared_ptr<Probe>(std::move(node.mapped().probe))] {});
 }
 
-void CrashWatch::Private::noteEnd(const BrokenRun &run, TimePoint endedAt)
+void CrashWatch::Private::reportCrash(const BrokenAttempt &attempt, TimePoint crashedAt)
 {
     // What was sent later met a proxy before a replica that had ended.
-    if (run.sentAt > endedAt)
+    if (attempt.sentAt > crashedAt)
         return;
     Log::info("run_ended_with_replica",
-              {{"request_id", run.requestId},
-               {"fingerprint", run.fingerprint},
-               {"replica", run.replica},
-               {"software", run.software}});
-    options.runEnded(run, endedAt);
+              {{"request_id", attempt.requestId},
+               {"fingerprint", attempt.fingerprint},
+               {"replica", attempt.replica},
+               {"software", attempt.software}});
+    options.attemptCrashed(attempt, crashedAt);
 }
 
 void CrashWatch::Private::forgetOld()
 {
     const TimePoint now = options.loop.now();
-    std::erase_if(ended, [&](const auto &it) { return now - it.second > EndMemory; });
+    std::erase_if(crashed, [&](const auto &it) { return now - it.second > CrashMemory; });
 }
 
 } // namespace catkinloft
--- a/src/Net/CrashWatch.h
+++ b/src/Net/CrashWatch.h
@@ -21,7 +21,7 @@
 {
 public:
     /// \brief A run of a request whose connection broke.
-    struct BrokenRun
+    struct BrokenAttempt
     {
         std::string requestId = {};
         std::string fingerprint = {}; ///< \sa requestFingerprint()
@@ -32,9 +32,9 @@
     };
 
     /// \brief When the sender of a broken run is told what is known.
-    enum class Patience : std::uint8_t {
-        Short, ///< As soon as something listens, which may be a proxy before a dead replica.
-        Long, ///< When it is also known that it does not close the connection again.
+    enum class AliveCriterion : std::uint8_t {
+        Accepts, ///< As soon as something listens, which may be a proxy before a dead replica.
+        StaysOpen, ///< When it is also known that it does not close the connection again.
     };
 
     struct Options
@@ -42,8 +42,8 @@
         EventLoop &loop;
         Metrics &metrics;
         /// Told of each run that broke because its replica ended, and when the replica did.
-        std::function<void(const BrokenRun &, TimePoint endedAt)> runEnded = [](const BrokenRun &,
-                                                                                TimePoint) {};
+        std::function<void(const BrokenAttempt &, TimePoint crashedAt)> attemptCrashed =
+                [](const BrokenAttempt &, TimePoint) {};
         /// Told once of each replica that has ended.
         std::function<void(const std::string &replica)> replicaCrashed = [](const std::string &) {};
     };
@@ -53,10 +53,11 @@
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
-    /// \brief Looks whether the replica of \a run has ended.
+    /// \brief Looks whether the replica of \a attempt has ended.
     /// \param decided is told once, later: true where it certainly has. A replica behind a proxy
-    /// may be found to have ended after that; Options::runEnded is told all the same.
-    void runBroke(BrokenRun run, Patience patience, std::function<void(bool ended)> decided);
+    /// may be found to have ended after that; Options::attemptCrashed is told all the same.
+    void checkReplica(BrokenAttempt attempt, AliveCriterion criterion,
+                      std::function<void(bool crashed)> decided);
 
 private:
     struct Private;
--- a/src/Net/EngineTask.cpp
+++ b/src/Net/EngineTask.cpp
@@ -4,8 +4,8 @@
 #include "Control/EnginePoller.h"
 #include "Control/KvCacheMigrator.h"
 #include "Control/OrderController.h"
-#include "Net/EngineHttp.h"
 #include "Net/EventLoop.h"
+#include "Net/HttpEngineClient.h"
 #include "Net/Timer.h"
 
 #include <set>
@@ -45,32 +45,32 @@
           timer(options.loop, [this] { tick(); })
     {
         options.config.changed().connect(
-                [this](const InventoryPtr &inventory) { takeInventory(inventory); });
-        options.directory.changed().connect([this] { takeRouters(); });
+                [this](const InventoryPtr &inventory) { applyInventory(inventory); });
+        options.directory.changed().connect([this] { applyRouters(); });
         options.metrics.addCollector([this](Metrics &metrics) { collect(metrics); });
     }
 
-    void takeInventory(const InventoryPtr &inventory)
+    void applyInventory(const InventoryPtr &inventory)
     {
         std::vector<std::string> names;
         for (const Engine &it : inventory->engines)
             names.push_back(it.name);
         owners.setEngines(names);
-        takeOwned();
+        updateOwned();
         // What is known of an engine that leaves is needed before its owner may change.
         migrator.setInventory(inventory);
         orders.setInventory(inventory);
     }
 
-    void takeRouters()
+    void applyRouters()
     {
         if (!owners.setRouters(options.directory.routers()))
             return;
-        takeOwned();
+        updateOwned();
         orders.routersChanged();
     }
 
-    void takeOwned()
+    void updateOwned()
     {
         tracker.setOwned(owners.owned());
         const InventoryPtr inventory = options.config.current();
@@ -100,7 +100,7 @@
     }
 
     Options options;
-    EngineHttp http;
+    HttpEngineClient http;
     EngineTracker tracker;
     EngineOwners owners;
     EnginePoller poller;
--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 /// A new connection takes a round trip and a millisecond; a replica that needs this long is not
-/// reached. Short, since a call of 150 ms has to be placed elsewhere and still be on time.
+/// reached. Accepts, since a call of 150 ms has to be placed elsewhere and still be on time.
 constexpr Duration ConnectTimeout = 150ms;
 
 /// How long a replica is left out after it refused a connection. Restarts take seconds.
@@ -34,27 +34,27 @@
 /// least. Callers give up after eight times that pause and two seconds; half of it leaves time for
 /// the replica that goes on.
 constexpr int StallFactor = 3;
-constexpr Duration MinStall = 1200ms;
+constexpr Duration MinStallTimeout = 1200ms;
 
 /// Part of an idempotent call's time after which another replica is asked.
-constexpr int SilenceParts = 2;
+constexpr int SilenceTimeoutDivisor = 2;
 
 /// Least time for which sending again makes sense.
-constexpr Duration MinRepeatTime = 20ms;
+constexpr Duration MinRetryTime = 20ms;
 
 /// Replicas that may end under one request of a caller, where none had ended under it before. The
 /// second may have ended by chance; more would cost the others of the service more than the one
 /// request is worth.
-constexpr int MaxEndedReplicas = 2;
+constexpr int MaxCrashedReplicas = 2;
 
 /// What is taken off the caller's time for the way back.
-constexpr Duration ReturnTime = 5ms;
+constexpr Duration AnswerReserve = 5ms;
 
 /// The request came to another replica than it names.
 constexpr int Misdirected = 421;
 
 /// Longest answer that is held, as opposed to relayed.
-constexpr std::size_t MaxHeldAnswer = 16 * 1024 * 1024;
+constexpr std::size_t MaxBufferedAnswer = 16 * 1024 * 1024;
 
 /// When a caller whose request nobody could take may come back, and how far callers are spread so
 /// that they do not return together.
@@ -99,7 +99,7 @@
             m_exchange->closeAfterAnswer();
         return refuse(passed.error());
     }
-    if (m_context.refusesNew()) {
+    if (m_context.isShuttingDown()) {
         m_exchange->closeAfterAnswer();
         return refuse({.reason = Reason::Draining,
                        .detail = "this router is shutting down",
@@ -110,7 +110,7 @@
     m_deadline = m_request.deadline();
     m_deadlineTimer.start(std::max<Duration>(1ms, m_deadline - m_context.loop.now()));
     pickService();
-    m_service->repeats.countRequest();
+    m_service->retryBudget.countRequest();
     if (!isStreaming() && m_context.settings.mechanisms.loadShedding
         && !m_service->shedder.admits())
         return refuse(
@@ -154,7 +154,7 @@
 
 Duration EntryCall::remaining() const
 {
-    return m_deadline - m_context.loop.now() - ReturnTime;
+    return m_deadline - m_context.loop.now() - AnswerReserve;
 }
 
 void EntryCall::attempt()
@@ -164,34 +164,34 @@
     if (const Result<void> proven = m_context.filters.checkProof(m_request); !proven) {
         Error error = proven.error();
         error.verdict = combine(m_verdict, error.verdict);
-        return m_begun ? breakOff(error) : refuse(error);
+        return m_headSent ? breakOff(error) : refuse(error);
     }
     if (const std::optional<Error> held = quarantineError())
-        return m_begun ? breakOff(*held) : refuse(*held);
+        return m_headSent ? breakOff(*held) : refuse(*held);
     const ReplicaPool::Choice choice = chooseReplica();
     if (choice.replica)
         return send(choice);
     const Error error{.reason = Reason::NoLiveEngine,
                       .verdict = m_verdict,
                       .detail = fmt::format("no replica of {} can take it", m_serviceName),
-                      .retryAfter = comeBackAfter(),
+                      .retryAfter = retryDelay(),
                       .figures = {{"usable_replicas",
                                    static_cast<double>(m_service->replicas.usableCount())}}};
-    m_begun ? breakOff(error) : refuse(error);
+    m_headSent ? breakOff(error) : refuse(error);
 }
 
 ReplicaPool::Choice EntryCall::chooseReplica()
 {
     ReplicaPool::Query query{.prompt = m_request.sharedPrompt(),
-                             .excluded = m_sendings.failed(),
+                             .excluded = m_history.failed(),
                              .retryable = m_request.route->isIdempotent(),
                              .regions = m_request.route->regions};
     if (m_request.workspace)
         query.workspaceRegions = m_request.workspace->regions;
     // The route bounds how many replicas may get it, not how often one does.
-    if (m_sendings.isLimitedToReached(*m_request.route)) {
+    if (m_history.isLimitedToReached(*m_request.route)) {
         query.excluded = {};
-        query.only = m_sendings.reached();
+        query.only = m_history.reached();
     }
     const ReplicaPool::Choice choice = m_service->replicas.choose(query);
     if (choice.replica || query.excluded.empty())
@@ -232,7 +232,7 @@
                  .figures = {{"ended_replicas", static_cast<double>(held->replicas.size())}}};
 }
 
-bool EntryCall::mayHaveEndedReplica(const Error &error) const
+bool EntryCall::mayHaveCrashedReplica(const Error &error) const
 {
     // One that leaves ends by plan, with whatever is still in progress.
     return m_context.settings.mechanisms.requestQuarantine && error.reason == Reason::UpstreamBroken
@@ -244,29 +244,29 @@
     return m_context.quarantine.isEmpty() ? 0 : m_context.quarantine.suspicion(fingerprint());
 }
 
-void EntryCall::checkReplicaEnd(const Error &error)
+void EntryCall::checkForCrash(const Error &error)
 {
     m_call.reset();
-    const CrashWatch::BrokenRun run{.requestId = id(),
-                                    .fingerprint = fingerprint(),
-                                    .replica = m_incarnation,
-                                    .software = m_replica.software(),
-                                    .address = m_replica.address,
-                                    .sentAt = m_attemptBegan};
-    const auto patience =
-            suspicion() > 0 ? CrashWatch::Patience::Long : CrashWatch::Patience::Short;
-    m_context.crashes.runBroke(run, patience,
-                               [weak = weak_from_this(), number = m_attempt, error](bool ended) {
-                                   const auto self = weak.lock();
-                                   if (self && self->m_attempting && self->m_attempt == number)
-                                       self->replicaEndChecked(error, ended);
-                               });
-}
-
-void EntryCall::replicaEndChecked(const Error &error, bool ended)
-{
-    m_endedReplicas += ended ? 1 : 0;
-    endAttempt(false, error.reason, ended);
+    const CrashWatch::BrokenAttempt run{.requestId = id(),
+                                        .fingerprint = fingerprint(),
+                                        .replica = m_incarnation,
+                                        .software = m_replica.software(),
+                                        .address = m_replica.address,
+                                        .sentAt = m_attemptStartedAt};
+    const auto criterion = suspicion() > 0 ? CrashWatch::AliveCriterion::StaysOpen
+                                           : CrashWatch::AliveCriterion::Accepts;
+    m_context.crashes.checkReplica(
+            run, criterion, [weak = weak_from_this(), number = m_attempt, error](bool crashed) {
+                const auto self = weak.lock();
+                if (self && self->m_attempting && self->m_attempt == number)
+                    self->crashChecked(error, crashed);
+            });
+}
+
+void EntryCall::crashChecked(const Error &error, bool crashed)
+{
+    m_crashedReplicas += crashed ? 1 : 0;
+    endAttempt(false, error.reason, crashed);
     attemptFailed(error);
 }
 
@@ -274,8 +274,8 @@
 {
     m_replica = *choice.replica;
     m_incarnation = m_replica.incarnation();
-    m_attemptBegan = m_context.loop.now();
-    m_heardAt = m_attemptBegan;
+    m_attemptStartedAt = m_context.loop.now();
+    m_lastReceivedAt = m_attemptStartedAt;
     m_firstByte.reset();
     m_head = {};
     m_answer = {};
@@ -283,12 +283,12 @@
     m_reader.reset();
     m_order.beginConnection();
     m_relaying = false;
-    m_heardEvent = false;
+    m_receivedEvent = false;
     m_attempting = true;
     ++m_attempt;
-    m_stallLimit = stallLimit();
-    m_readsWholePrompt = choice.cachedPromptTokens == 0 && !choice.copyFrom;
-    m_sendings.sent(m_incarnation);
+    m_stallTimeout = stallTimeout();
+    m_isPromptUncached = choice.cachedPromptTokens == 0 && !choice.copyFrom;
+    m_history.sent(m_incarnation);
     const std::string copyFrom = choice.copyFrom ? choice.copyFrom->address : std::string();
     reportSent(choice);
     m_service->replicas.started(m_incarnation, m_request.sharedPrompt());
@@ -325,38 +325,39 @@
                  .body = std::string(m_exchange->body()),
                  .timeout =
                          m_deadline - m_context.loop.now() + 1s, // The call's own timer is first.
-                 .maxBodyBytes = MaxHeldAnswer,
+                 .maxBodyBytes = MaxBufferedAnswer,
                  .connectTimeout = ConnectTimeout,
-                 .takesUnframed = true};
-    out.maxIdleAge = m_service->idle.limit(route.isIdempotent());
-    const bool another = m_sendings.mayRetry(route);
-    if (another && route.kind == CallKind::Idempotent)
-        out.progressTimeout = route.timeout / SilenceParts;
-    else if (another && route.isIdempotent())
-        out.progressTimeout = m_stallLimit;
+                 .acceptsUnframed = true};
+    out.maxIdleAge = m_service->connectionReuse.limit(route.isIdempotent());
+    const bool hasAnotherAttempt = m_history.mayRetry(route);
+    if (hasAnotherAttempt && route.kind == CallKind::Idempotent)
+        out.progressTimeout = route.timeout / SilenceTimeoutDivisor;
+    else if (hasAnotherAttempt && route.isIdempotent())
+        out.progressTimeout = m_stallTimeout;
     if (out.progressTimeout > Duration::zero() && isStreaming())
-        out.firstByteTimeout = m_stallLimit + readingTime();
+        out.firstByteTimeout = m_stallTimeout + prefillTimeout();
     return out;
 }
 
-Duration EntryCall::readingTime() const
+Duration EntryCall::prefillTimeout() const
 {
-    if (!m_context.settings.mechanisms.promptPace)
+    if (!m_context.settings.mechanisms.prefillTimeouts)
         return Duration::zero();
-    return m_service->pace.timeoutFor(m_request.facts.promptTokens);
+    return m_service->prefillEstimate.timeoutFor(m_request.facts.promptTokens);
 }
 
-Duration EntryCall::stallLimit() const
+Duration EntryCall::stallTimeout() const
 {
-    return std::max(MinStall,
+    return std::max(MinStallTimeout,
                     m_request.route->maxEventGap.value_or(Duration::zero()) * StallFactor);
 }
 
 void EntryCall::noteFirstEvent()
 {
-    if (std::exchange(m_heardEvent, true) || !m_readsWholePrompt)
+    if (std::exchange(m_receivedEvent, true) || !m_isPromptUncached)
         return;
-    m_service->pace.observe(m_request.facts.promptTokens, m_context.loop.now() - m_attemptBegan);
+    m_service->prefillEstimate.observe(m_request.facts.promptTokens,
+                                       m_context.loop.now() - m_attemptStartedAt);
 }
 
 HttpCallEvents EntryCall::attemptEvents()
@@ -382,8 +383,8 @@
 
 void EntryCall::onHead(const HttpHead &head)
 {
-    m_heardAt = m_context.loop.now();
-    m_firstByte = m_context.loop.now() - m_attemptBegan;
+    m_lastReceivedAt = m_context.loop.now();
+    m_firstByte = m_context.loop.now() - m_attemptStartedAt;
     m_head = head;
     m_answer = m_context.codec.decodeAnswer(head);
     noteReplicaState();
@@ -405,9 +406,9 @@
 {
     const bool isAnother = m_head.status == Misdirected;
     if (m_answer.isLeaving && !isAnother)
-        m_context.replicaLeaves(m_incarnation);
+        m_context.replicaLeaving(m_incarnation);
     if (m_answer.isLeaving && isAnother)
-        m_context.othersLeave(m_replica.address, m_replica.id);
+        m_context.replicaLeavingAt(m_replica.address, m_replica.id);
     if (!m_answer.pause || isAnother)
         return;
     m_service->replicas.excludeFor(m_incarnation, *m_answer.pause);
@@ -419,7 +420,7 @@
                {"for_ms", *m_answer.pause / 1ms}});
 }
 
-Duration EntryCall::comeBackAfter() const
+Duration EntryCall::retryDelay() const
 {
     return std::max(RetryBase, m_service->replicas.timeUntilAvailable());
 }
@@ -440,7 +441,7 @@
 
 void EntryCall::onData(std::string_view data)
 {
-    m_heardAt = m_context.loop.now();
+    m_lastReceivedAt = m_context.loop.now();
     if (m_relaying) {
         noteFirstEvent();
         if (!m_reader.feed(data, [this](const SseEvent &event) { relay(event); }))
@@ -453,9 +454,9 @@
 void EntryCall::beginRelay()
 {
     m_relaying = true;
-    if (m_begun)
+    if (m_headSent)
         return;
-    m_begun = true;
+    m_headSent = true;
     m_exchange->onDrained([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->m_call)
@@ -499,7 +500,7 @@
     if (!std::exchange(m_attempting, false))
         return;
     m_call.reset();
-    const Duration total = m_context.loop.now() - m_attemptBegan;
+    const Duration total = m_context.loop.now() - m_attemptStartedAt;
     const bool ejected =
             m_service->replicas.finished(m_incarnation,
                                          {.succeeded = succeeded,
@@ -519,9 +520,9 @@
                        .detail = "the stream ended within an event"};
     if (!result) {
         Error error = std::move(result.error());
-        noteForgottenConnection(error);
-        if (mayHaveEndedReplica(error))
-            return checkReplicaEnd(error);
+        noteStaleConnection(error);
+        if (mayHaveCrashedReplica(error))
+            return checkForCrash(error);
         endAttempt(false, error.reason);
         return attemptFailed(error);
     }
@@ -529,8 +530,8 @@
     if (isSuccess(m_head.status) && !m_context.quarantine.isEmpty())
         m_context.quarantine.completed(fingerprint());
     const bool failed = m_head.status >= 500 && !m_answer.notExecuted;
-    endAttempt(!failed, failed ? Reason::UpstreamBroken : Reason::Internal, m_sendings.count() > 1);
-    m_relaying ? endRelay() : takeAnswer();
+    endAttempt(!failed, failed ? Reason::UpstreamBroken : Reason::Internal, m_history.count() > 1);
+    m_relaying ? endRelay() : handleAnswer();
 }
 
 void EntryCall::noteLoad()
@@ -545,33 +546,34 @@
         m_service->shedder.refused(m_incarnation, usable);
     else if (m_answer.load)
         m_service->shedder.answered(m_incarnation, *m_answer.load,
-                                    m_context.loop.now() - m_attemptBegan,
+                                    m_context.loop.now() - m_attemptStartedAt,
                                     m_request.route->targetLatency, usable);
 }
 
-void EntryCall::noteForgottenConnection(const Error &error)
+void EntryCall::noteStaleConnection(const Error &error)
 {
-    const Duration rested = m_call ? m_call->rested() : Duration::zero();
+    const Duration idleTime = m_call ? m_call->idleTime() : Duration::zero();
     if (error.reason != Reason::UpstreamBroken || m_firstByte
-        || !m_service->idle.reportBroken(rested, m_context.loop.now() - m_attemptBegan))
+        || !m_service->connectionReuse.reportBroken(idleTime,
+                                                    m_context.loop.now() - m_attemptStartedAt))
         return;
     m_context.metrics.count("catkinloft_forgotten_connections_total");
     Log::info("idle_connection_forgotten",
               {{"request_id", id()},
                {"service", m_serviceName},
                {"replica", m_replica.id},
-               {"rested_ms", rested / 1ms},
-               {"trusted_ms", m_service->idle.limit(false) / 1ms}});
+               {"rested_ms", idleTime / 1ms},
+               {"trusted_ms", m_service->connectionReuse.limit(false) / 1ms}});
 }
 
-void EntryCall::takeAnswer()
+void EntryCall::handleAnswer()
 {
     const bool misdirected = m_head.status == Misdirected;
     if (m_answer.notExecuted || misdirected) {
         m_context.pools.of(m_serviceName)
                 .replicas.excludeFor(m_incarnation, misdirected ? MisdirectedPause : FullPause);
         if (misdirected)
-            m_sendings.didNotArrive(m_incarnation);
+            m_history.didNotArrive(m_incarnation);
         return attemptFailed({.reason = Reason::UpstreamRefused,
                               .verdict = Verdict::NotRun,
                               .detail = fmt::format("replica {} did not run it: {}", m_replica.id,
@@ -583,15 +585,15 @@
                               .detail = "the replica refused without saying that it did not run"});
     m_verdict = Verdict::Ran;
     // An answer that is there is better than none.
-    const bool elsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
+    const bool retryElsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
             && m_service->replicas.usableCount() > 0;
-    if (elsewhere && mayRetry(m_verdict)) {
+    if (retryElsewhere && mayRetry(m_verdict)) {
         m_context.report(describe(
                 RequestEvent::Kind::AttemptFailed,
                 {.reason = Reason::UpstreamBroken,
                  .verdict = Verdict::Ran,
                  .detail = fmt::format("replica {} answered {}", m_replica.id, m_head.status)}));
-        m_sendings.failedOn(m_incarnation);
+        m_history.failedOn(m_incarnation);
         return attempt();
     }
     deliver();
@@ -605,13 +607,13 @@
 
 bool EntryCall::mayRetry(Verdict verdict)
 {
-    if (!m_sendings.mayRetry(*m_request.route) || remaining() < MinRepeatTime
-        || m_endedReplicas >= MaxEndedReplicas || (m_endedReplicas > 0 && suspicion() > 1))
+    if (!m_history.mayRetry(*m_request.route) || remaining() < MinRetryTime
+        || m_crashedReplicas >= MaxCrashedReplicas || (m_crashedReplicas > 0 && suspicion() > 1))
         return false;
     // A service that holds calls back has no room for those that it has worked on.
     if (verdict != Verdict::NotRun && !isStreaming() && m_service->shedder.isShedding())
         return false;
-    if (!m_service->repeats.tryRetry(m_context.sharingRouters())) {
+    if (!m_service->retryBudget.tryRetry(m_context.sharingRouters())) {
         m_context.metrics.count("catkinloft_repeats_denied_total");
         return false;
     }
@@ -623,30 +625,30 @@
     m_context.report(describe(RequestEvent::Kind::AttemptFailed, error));
     m_context.metrics.retried(error.reason);
     m_verdict = combine(m_verdict, error.verdict);
-    m_sendings.failedOn(m_incarnation);
-    const bool unreached =
+    m_history.failedOn(m_incarnation);
+    const bool unreachable =
             error.reason == Reason::UpstreamUnreachable && error.verdict == Verdict::NotRun;
-    if (unreached) {
+    if (unreachable) {
         m_service->replicas.excludeFor(m_incarnation, UnreachablePause);
         m_service->replicas.noteUnreachable(m_incarnation);
         m_context.client.dropIdle(m_replica.address);
-        if (m_sendings.wasUnreachable(m_incarnation))
+        if (m_history.wasUnreachable(m_incarnation))
             return attempt();
     }
     // What the caller lacks can't be sent any more once it has a later event.
     const bool safe = (error.verdict == Verdict::NotRun || m_request.route->isIdempotent())
             && !m_order.hasLostEvent();
-    if (!unreached && safe && mayRetry(error.verdict))
+    if (!unreachable && safe && mayRetry(error.verdict))
         return attempt();
-    if (m_endedReplicas > 0) {
+    if (m_crashedReplicas > 0) {
         if (const std::optional<Error> held = quarantineError())
-            return m_begun ? breakOff(*held) : refuse(*held);
+            return m_headSent ? breakOff(*held) : refuse(*held);
     }
     Error last = error;
     last.verdict = m_verdict;
     if (last.verdict == Verdict::NotRun)
-        last.retryAfter = comeBackAfter();
-    m_begun ? breakOff(last) : refuse(last);
+        last.retryAfter = retryDelay();
+    m_headSent ? breakOff(last) : refuse(last);
 }
 
 void EntryCall::deadlineExpired()
@@ -660,7 +662,7 @@
                       .verdict = verdict,
                       .detail = "no whole answer by the deadline",
                       .retryAfter = RetryBase};
-    m_begun ? breakOff(error) : refuse(error);
+    m_headSent ? breakOff(error) : refuse(error);
 }
 
 bool EntryCall::isStreaming() const
@@ -672,8 +674,8 @@
 {
     if (!isStreaming())
         return false;
-    const Duration reading = m_heardEvent ? Duration::zero() : readingTime();
-    return m_context.loop.now() - m_heardAt >= m_stallLimit + reading;
+    const Duration prefill = m_receivedEvent ? Duration::zero() : prefillTimeout();
+    return m_context.loop.now() - m_lastReceivedAt >= m_stallTimeout + prefill;
 }
 
 void EntryCall::callerGone()
@@ -715,7 +717,7 @@
                      .requestId = id(),
                      .service = m_serviceName,
                      .elapsed = now - m_request.receivedAt,
-                     .attempt = m_sendings.count(),
+                     .attempt = m_history.count(),
                      .replica = m_replica.id,
                      .address = m_replica.address};
     if (m_request.route) {
--- a/src/Net/EntryCall.h
+++ b/src/Net/EntryCall.h
@@ -40,13 +40,13 @@
     CrashWatch &crashes;
     RandomSource random;
     std::function<int()> sharingRouters; ///< Routers that share the repeat budget.
-    std::function<bool()> refusesNew; ///< The process is about to stop.
+    std::function<bool()> isShuttingDown; ///< The process is about to stop.
     /// Told of each prompt that is sent to a replica, which keeps it from then on.
     std::function<void(const std::string &replica, std::span<const PromptPart>)> promptSent = {};
     /// Told of each answer in which a replica says that it leaves, by its incarnation.
-    std::function<void(const std::string &replica)> replicaLeaves = [](const std::string &) {};
+    std::function<void(const std::string &replica)> replicaLeaving = [](const std::string &) {};
     /// The same for whatever answers at an address where replica \a id was meant.
-    std::function<void(const std::string &address, const std::string &id)> othersLeave =
+    std::function<void(const std::string &address, const std::string &id)> replicaLeavingAt =
             [](const std::string &, const std::string &) {};
     std::function<void()> replicaEjected = {}; ///< The other routers should hear of it at once.
     std::function<Duration()> proofAge = {}; ///< Of the configuration, for the log.
@@ -80,8 +80,8 @@
     void send(const ReplicaPool::Choice &choice);
     void reportSent(const ReplicaPool::Choice &choice) const;
     HttpCall composeCall(const std::string &copyFrom) const;
-    Duration stallLimit() const;
-    Duration readingTime() const; ///< That a sound engine may need for the prompt.
+    Duration stallTimeout() const;
+    Duration prefillTimeout() const; ///< That a sound engine may need for the prompt.
     HttpCallEvents attemptEvents();
     void noteFirstEvent();
 
@@ -95,19 +95,19 @@
     void endRelay();
 
     void noteReplicaState();
-    Duration comeBackAfter() const; ///< When a caller whose request nobody could take should.
+    Duration retryDelay() const; ///< When a caller whose request nobody could take should.
     void noteLoad();
-    void noteForgottenConnection(const Error &error);
-    void takeAnswer();
+    void noteStaleConnection(const Error &error);
+    void handleAnswer();
     void deliver();
     void attemptFailed(const Error &error);
     ReplicaPool::Choice chooseReplica();
     const std::string &fingerprint();
     std::optional<Error> quarantineError();
-    bool mayHaveEndedReplica(const Error &error) const;
+    bool mayHaveCrashedReplica(const Error &error) const;
     int suspicion(); ///< \sa RequestQuarantine::suspicion
-    void checkReplicaEnd(const Error &error);
-    void replicaEndChecked(const Error &error, bool ended);
+    void checkForCrash(const Error &error);
+    void crashChecked(const Error &error, bool crashed);
     /// \param verdict of the sending that failed.
     bool mayRetry(Verdict verdict);
     /// \param ignoredForHealth \sa AttemptReport::ignoredForHealth
@@ -139,14 +139,14 @@
     bool m_attempting = false;
     ReplicaRecord m_replica;
     std::string m_incarnation; ///< Of m_replica.
-    TimePoint m_attemptBegan;
-    TimePoint m_heardAt; ///< Last byte of this attempt's answer, or its beginning.
+    TimePoint m_attemptStartedAt;
+    TimePoint m_lastReceivedAt; ///< Last byte of this attempt's answer, or its beginning.
     std::optional<Duration> m_firstByte; ///< Of this attempt.
-    Duration m_stallLimit = Duration::zero(); ///< Silence after which its stream has stalled.
-    bool m_heardEvent = false; ///< Of this attempt's stream.
-    bool m_readsWholePrompt = false; ///< Nothing of the prompt is known to be kept there.
-    AttemptHistory m_sendings;
-    int m_endedReplicas = 0; ///< Under attempts of this request.
+    Duration m_stallTimeout = Duration::zero(); ///< Silence after which its stream has stalled.
+    bool m_receivedEvent = false; ///< Of this attempt's stream.
+    bool m_isPromptUncached = false; ///< Nothing of the prompt is known to be kept there.
+    AttemptHistory m_history;
+    int m_crashedReplicas = 0; ///< Under attempts of this request.
     std::string m_fingerprint; ///< Empty until it is needed.
     Verdict m_verdict = Verdict::NotRun; ///< Over all ended attempts.
 
@@ -156,7 +156,7 @@
     SseReader m_reader;
     EventOrder m_order;
     bool m_relaying = false; ///< This attempt's events go to the caller.
-    bool m_begun = false; ///< The caller has got the head of the answer.
+    bool m_headSent = false; ///< The caller has got the head of the answer.
     bool m_finished = false;
 };
 
--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -34,11 +34,12 @@
 /// call costs as much as a small request.
 constexpr Duration RegistrationPoll = 200ms;
 constexpr Duration RegistrationInterval = 10s;
-constexpr Duration RegistrationPause = 500ms; ///< Least time between readings of the whole fleet.
+constexpr Duration RegistrationIntervalPerRouter =
+        500ms; ///< Least time between readings of the whole fleet.
 
 /// New work is still taken for this part of the time until the kill, from callers that keep an
 /// older address; long streams need the rest to end.
-constexpr double AcceptPart = 0.35;
+constexpr double AcceptFraction = 0.35;
 
 /// Kept of the time until the kill for the end of the process itself.
 constexpr Duration StopMargin = 300ms;
@@ -47,29 +48,29 @@
 
 /// How often it is looked which engines are to be asked for the prompts that they keep, while the
 /// survey after a start lasts.
-constexpr Duration SurveyPoll = 50ms;
+constexpr Duration DiscoveryPoll = 50ms;
 
 /// A router that has run for so much longer than this one was not restarted with it.
-constexpr Duration OlderPeer = 5s;
+constexpr Duration OlderPeerMargin = 5s;
 
 /// Parts of prompts of one service that are told to a router that has started: some 240 KB, a fifth
 /// of a second of a link of 10 Mbit/s. Nine replicas have fewer; with 140, 85 of each are told.
-constexpr std::size_t MaxToldPrompts = 12'000;
+constexpr std::size_t MaxAnnouncedPrompts = 12'000;
 
 /// How long beats tell of a replica that has said that it leaves: a few rounds of a large fleet, or
 /// until the store has its entry.
-constexpr Duration LeavingTold = 10s;
-constexpr std::size_t MaxToldLeaving = 8;
+constexpr Duration LeavingAnnounceTime = 10s;
+constexpr std::size_t MaxAnnouncedLeaving = 8;
 
 /// How long a replica is left out that has ended, unless its entry goes before. What listens at its
 /// address may be a proxy.
-constexpr Duration EndedPause = 3s;
+constexpr Duration CrashExclusionTime = 3s;
 
 /// At the metrics address.
 constexpr std::string_view QuarantinePath = "/quarantine";
 
 /// Routers that are counted while none can be verified, which bounds what a stranger can feign.
-constexpr std::size_t MaxUnverified = 1000;
+constexpr std::size_t MaxUnverifiedRouters = 1000;
 
 /// A caller's connection is kept for longer than the configuration allows it to be idle, so that a
 /// request never crosses its close.
@@ -87,15 +88,15 @@
     void applyConfig(const RouteConfigPtr &config);
     void applySettings(const EntrySettings &next);
     ReplicaStatusUpdate ownStatusUpdate() const;
-    void tellNews();
+    void announceIfReader();
     void notePrompts(const PromptsByReplica &prompts);
-    void takeBeat(const RouterHeartbeat &heartbeat);
-    void takeUnverifiedBeat(const RouterHeartbeat &heartbeat);
+    void receiveHeartbeat(const RouterHeartbeat &heartbeat);
+    void receiveUnverifiedHeartbeat(const RouterHeartbeat &heartbeat);
     int knownRouters();
     void registrationEnded(bool answered);
     void storeAnswered(TimePoint at);
-    void learnPrompts();
-    void takeList(const ReplicaRecord &engine, std::span<const PromptPart> prompts);
+    void discoverPrompts();
+    void handlePromptList(const ReplicaRecord &engine, std::span<const PromptPart> prompts);
     bool isReady() const;
     void answerMetrics(const HttpExchangePtr &exchange);
     void drain();
@@ -129,8 +130,8 @@
     SettingsWatch settingsWatch;
     std::vector<std::unique_ptr<HttpServer>> servers;
     HttpServer *callers = nullptr;
-    PromptDiscovery survey;
-    Timer surveyTimer;
+    PromptDiscovery discovery;
+    Timer discoveryTimer;
     Timer registrationTimer;
     Timer drainTimer;
     TimePoint refuseFrom = TimePoint::max();
@@ -141,7 +142,7 @@
 EntryProcess::Private::Private(const EntrySettings &s, std::string settingsFile, EntryAdapter a)
     : settings(s), adapter(std::move(a)), store(adapter.makeStore(client, settings.storeAddress)),
       table(adapter.makeTable(client, settings.storeAddress)),
-      replicas({.clock = loop, .reregistrationTime = settings.replicaReturnTime}),
+      replicas({.clock = loop, .reregistrationTime = settings.replicaReregistrationTime}),
       pools(loop, random, settings,
             {.routers = [this] { return fleet.view().sharingRouters(); },
              .isColdSender =
@@ -150,20 +151,22 @@
                      }}),
       filters({.routes = [this] { return routes; },
                .proofAge = [this] { return config.proofAge(); },
-               .proofLimit = settings.keyProofLimit,
+               .proofLimit = settings.maxKeyProofAge,
                .requiresProof = settings.requiresKeyProof}),
       quarantine({.clock = loop,
                   .random = random,
                   .routers = [this] { return fleet.view().sharingRouters(); },
-                  .announceNow = [this] { fleet.tellCrashes(); }}),
+                  .announceNow = [this] { fleet.announceCrashes(); }}),
       crashes({.loop = loop,
                .metrics = metrics,
-               .runEnded =
-                       [this](const CrashWatch::BrokenRun &it, TimePoint) {
+               .attemptCrashed =
+                       [this](const CrashWatch::BrokenAttempt &it, TimePoint) {
                            quarantine.replicaCrashed(it.fingerprint, it.replica, it.software);
                        },
                .replicaCrashed =
-                       [this](const std::string &it) { pools.noteEnded(it, EndedPause); }}),
+                       [this](const std::string &it) {
+                           pools.noteCrashed(it, CrashExclusionTime);
+                       }}),
       fleet({.loop = loop,
              .client = client,
              .metrics = metrics,
@@ -175,13 +178,14 @@
              .storeFailing = [this] { return watch.isFailing(); },
              .storeUnansweredFor = [this] { return watch.unansweredFor(); },
              .ownStatusUpdate = [this] { return ownStatusUpdate(); },
-             .takeCrashNews = [this] { return quarantine.takeUpdates(); },
+             .takeCrashUpdates = [this] { return quarantine.takeUpdates(); },
              .takeFirstCrashes = [this] { return quarantine.takeFirstCrashes(); },
-             .onBeat = [this](const RouterHeartbeat &it) { takeBeat(it); },
-             .onUnverifiedBeat = [this](const RouterHeartbeat &it) { takeUnverifiedBeat(it); },
+             .onHeartbeat = [this](const RouterHeartbeat &it) { receiveHeartbeat(it); },
+             .onUnverifiedHeartbeat =
+                     [this](const RouterHeartbeat &it) { receiveUnverifiedHeartbeat(it); },
              .onConfigText = [this](const std::string &text,
-                                    TimePoint began) { watch.takeConfigText(text, began); },
-             .prompts = [this] { return pools.prompts(MaxToldPrompts); },
+                                    TimePoint began) { watch.applyConfigText(text, began); },
+             .prompts = [this] { return pools.prompts(MaxAnnouncedPrompts); },
              .onPrompts = [this](const PromptsByReplica &it) { notePrompts(it); }}),
       watch({.loop = loop,
              .store = *store,
@@ -205,8 +209,8 @@
                     .onRouters =
                             [this](const std::vector<RegisteredRouter> &it) {
                                 fleet.view().setRegistered(it);
-                                survey.setRouters(it);
-                                learnPrompts();
+                                discovery.setRouters(it);
+                                discoverPrompts();
                             },
                     .onEnd = [this](bool answered) { registrationEnded(answered); }}),
       registrationPlan({.clock = loop, .random = random}),
@@ -226,27 +230,29 @@
                .crashes = crashes,
                .random = random,
                .sharingRouters = [this] { return fleet.view().sharingRouters(); },
-               .refusesNew = [this] { return loop.now() >= refuseFrom; },
+               .isShuttingDown = [this] { return loop.now() >= refuseFrom; },
                .promptSent =
                        [this](const std::string &replica, std::span<const PromptPart> prompt) {
-                           if (settings.mechanisms.promptNews)
+                           if (settings.mechanisms.promptAnnouncements)
                                fleet.notePrompt(replica, prompt);
                        },
-               .replicaLeaves =
+               .replicaLeaving =
                        [this](const std::string &it) {
                            replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Answer);
                        },
-               .othersLeave =
+               .replicaLeavingAt =
                        [this](const std::string &address, const std::string &id) {
                            replicas.markLeavingAt(address, id);
                        },
-               .replicaEjected = [this] { fleet.tellEjected(); },
+               .replicaEjected = [this] { fleet.announceEjection(); },
                .proofAge = [this] { return config.proofAge(); }}),
       settingsWatch({.loop = loop,
                      .file = std::move(settingsFile),
                      .onChange = [this](const EntrySettings &it) { applySettings(it); }}),
-      survey({.clock = loop, .self = settings.peerAddress, .maxAnnouncedParts = MaxToldPrompts}),
-      surveyTimer(loop, [this] { learnPrompts(); }),
+      discovery({.clock = loop,
+                 .self = settings.peerAddress,
+                 .maxAnnouncedParts = MaxAnnouncedPrompts}),
+      discoveryTimer(loop, [this] { discoverPrompts(); }),
       registrationTimer(loop, [this] { keepRegistered(); }),
       drainTimer(loop, [this] { checkDrained(); })
 {
@@ -257,12 +263,12 @@
     config.changed().connect([this](const RouteConfigPtr &it) { applyConfig(it); });
     evacuated.changed().connect([this] {
         pools.setEvacuated(evacuated.state().domains);
-        tellNews();
+        announceIfReader();
     });
     replicas.changed().connect([this] {
         pools.setReplicas(replicas.replicas());
-        tellNews();
-        learnPrompts();
+        announceIfReader();
+        discoverPrompts();
     });
 }
 
@@ -270,15 +276,15 @@
 {
     routes = std::make_shared<RouteTable>(it);
     pools.setServices(*it);
-    tellNews();
-    learnPrompts();
+    announceIfReader();
+    discoverPrompts();
     callers->setIdleTimeout(std::max(MinIdleTimeout, 2 * it->idleTimeout));
 }
 
 void EntryProcess::Private::applySettings(const EntrySettings &next)
 {
-    const EntrySettings::Adjusted adjusted = settings.adjust(next);
-    filters.setProofRules(settings.keyProofLimit, settings.requiresKeyProof);
+    const EntrySettings::UpdateResult adjusted = settings.updateFrom(next);
+    filters.setProofRules(settings.maxKeyProofAge, settings.requiresKeyProof);
     pools.applySettings();
     fleet.applySettings();
     Log::info("settings_reloaded",
@@ -289,15 +295,15 @@
 ReplicaStatusUpdate EntryProcess::Private::ownStatusUpdate() const
 {
     ReplicaStatusUpdate out = pools.ownStatusUpdate();
-    out.leaving = replicas.recentlyLeaving(LeavingTold, MaxToldLeaving);
+    out.leaving = replicas.recentlyLeaving(LeavingAnnounceTime, MaxAnnouncedLeaving);
     return out;
 }
 
-void EntryProcess::Private::tellNews()
+void EntryProcess::Private::announceIfReader()
 {
     // Those that heard it from a reader need not repeat it.
     if (fleet.isReader())
-        fleet.tellAll();
+        fleet.announceToAll();
 }
 
 void EntryProcess::Private::notePrompts(const PromptsByReplica &prompts)
@@ -306,28 +312,29 @@
         pools.notePrompts(replica, parts);
 }
 
-void EntryProcess::Private::takeBeat(const RouterHeartbeat &heartbeat)
+void EntryProcess::Private::receiveHeartbeat(const RouterHeartbeat &heartbeat)
 {
     pools.applyStatusUpdate(heartbeat.name, heartbeat.replicas, loop.now());
     for (const std::string &it : heartbeat.replicas.leaving)
         replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Router);
     quarantine.merge(heartbeat.crashes);
-    for (const CrashUpdate &news : heartbeat.crashes) {
-        for (const CrashUpdate::Crash &it : news.replicaCrashes) {
-            if (it.age < EndedPause)
-                pools.noteEnded(it.replica, EndedPause - it.age);
+    for (const CrashUpdate &update : heartbeat.crashes) {
+        for (const CrashUpdate::Crash &it : update.replicaCrashes) {
+            if (it.age < CrashExclusionTime)
+                pools.noteCrashed(it.replica, CrashExclusionTime - it.age);
         }
     }
     notePrompts(heartbeat.prompts);
     for (const std::string &it : heartbeat.discovered)
-        survey.discovered(it);
-    if (heartbeat.incarnation + static_cast<std::uint64_t>(OlderPeer / 1ms) < fleet.incarnation())
-        survey.peerStateReceived();
+        discovery.discovered(it);
+    if (heartbeat.incarnation + static_cast<std::uint64_t>(OlderPeerMargin / 1ms)
+        < fleet.incarnation())
+        discovery.peerStateReceived();
 }
 
-void EntryProcess::Private::takeUnverifiedBeat(const RouterHeartbeat &heartbeat)
+void EntryProcess::Private::receiveUnverifiedHeartbeat(const RouterHeartbeat &heartbeat)
 {
-    if (unverified.size() < MaxUnverified)
+    if (unverified.size() < MaxUnverifiedRouters)
         unverified.insert(heartbeat.name);
     if (heartbeat.proofAge != Duration::max())
         storeAnswered(loop.now() - heartbeat.proofAge);
@@ -344,37 +351,38 @@
     registrationPlan.answeredElsewhere(at);
 }
 
-void EntryProcess::Private::learnPrompts()
+void EntryProcess::Private::discoverPrompts()
 {
-    if (!settings.mechanisms.promptSurvey)
+    if (!settings.mechanisms.promptDiscovery)
         return;
-    for (const ReplicaRecord &it : survey.due(pools.engines())) {
+    for (const ReplicaRecord &it : discovery.due(pools.engines())) {
         adapter.listPrompts(client, it.address,
                             [this, it](const Result<std::vector<PromptPart>> &r) {
                                 if (r)
-                                    return takeList(it, r.value());
+                                    return handlePromptList(it, r.value());
                                 Log::info("prompts_not_listed",
                                           {{"replica", it.id}, {"detail", r.error().detail}});
                             });
     }
-    if (survey.isFinished())
-        surveyTimer.stop();
+    if (discovery.isFinished())
+        discoveryTimer.stop();
 }
 
-void EntryProcess::Private::takeList(const ReplicaRecord &engine,
-                                     std::span<const PromptPart> prompts)
+void EntryProcess::Private::handlePromptList(const ReplicaRecord &engine,
+                                             std::span<const PromptPart> prompts)
 {
     std::vector<std::uint64_t> parts;
     parts.reserve(prompts.size());
     for (const PromptPart &it : prompts)
         parts.push_back(it.id);
     const std::string incarnation = engine.incarnation();
-    survey.discovered(incarnation);
+    discovery.discovered(incarnation);
     pools.notePrompts(incarnation, parts);
-    const std::vector<std::uint64_t> told = survey.partsToAnnounce(prompts, pools.engines().size());
-    fleet.tellListed(incarnation, told, survey.receiversFor(incarnation));
+    const std::vector<std::uint64_t> announced =
+            discovery.partsToAnnounce(prompts, pools.engines().size());
+    fleet.announceDiscovered(incarnation, announced, discovery.receiversFor(incarnation));
     Log::info("prompts_listed",
-              {{"replica", engine.id}, {"parts", parts.size()}, {"told", told.size()}});
+              {{"replica", engine.id}, {"parts", parts.size()}, {"told", announced.size()}});
 }
 
 bool EntryProcess::Private::isReady() const
@@ -388,8 +396,8 @@
         registrationPlan.began();
         registration.refresh();
     }
-    const Duration interval = std::max<Duration>(RegistrationInterval,
-                                                 RegistrationPause * fleet.view().sharingRouters());
+    const Duration interval = std::max<Duration>(
+            RegistrationInterval, RegistrationIntervalPerRouter * fleet.view().sharingRouters());
     registrationTimer.start(registration.isComplete() ? interval : RegistrationPoll);
 }
 
@@ -407,13 +415,13 @@
 {
     return std::make_unique<HttpServer>(
             loop,
-            HttpServer::Options{
-                    .address = address,
-                    .limits = {.maxHeaderBytes = settings.maxHeaderBytes,
-                               .maxBodyBytes = settings.maxBodyBytes,
-                               .maxConnections = settings.maxConnections,
-                               .idleTimeout = MinIdleTimeout},
-                    .onTooMany = [this] { metrics.refused(Reason::TooManyConnections); }},
+            HttpServer::Options{.address = address,
+                                .limits = {.maxHeaderBytes = settings.maxHeaderBytes,
+                                           .maxBodyBytes = settings.maxBodyBytes,
+                                           .maxConnections = settings.maxConnections,
+                                           .idleTimeout = MinIdleTimeout},
+                                .onTooManyConnections =
+                                        [this] { metrics.refused(Reason::TooManyConnections); }},
             std::move(handler));
 }
 
@@ -459,8 +467,8 @@
     fleet.leave();
     registration.leave();
     gateway.leave();
-    refuseFrom = loop.now() + scaled(settings.stopLimit, AcceptPart);
-    stopAt = loop.now() + settings.stopLimit - StopMargin;
+    refuseFrom = loop.now() + scaled(settings.stopTimeout, AcceptFraction);
+    stopAt = loop.now() + settings.stopTimeout - StopMargin;
     drainTimer.startRepeating(DrainPoll);
 }
 
@@ -505,7 +513,7 @@
     m_d->connectSignals();
     m_d->watch.start();
     m_d->settingsWatch.start();
-    m_d->surveyTimer.startRepeating(SurveyPoll);
+    m_d->discoveryTimer.startRepeating(DiscoveryPoll);
     m_d->keepRegistered();
     Log::info("started",
               {{"caller_address", m_d->settings.callerAddress},
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -31,7 +31,7 @@
 /// How often a router that does not read the store asks one that does, as a part of the time in
 /// which changes have to be in force. Its proof is then at most three such parts old, with the two
 /// of the reader, and the reader's beat at each change comes sooner. An ask costs two datagrams.
-constexpr double AskPart = 0.2;
+constexpr double AskIntervalFraction = 0.2;
 
 /// Routers that are told at once of an ejected replica, or of requests that end replicas. In a
 /// large fleet many routers eject a replica that fails, and a few of them tell each of the others;
@@ -39,14 +39,14 @@
 constexpr std::size_t UrgentFanout = 78;
 
 /// All that ran on a replica breaks at the same moment; one datagram tells of it.
-constexpr Duration CrashTellDelay = 20ms;
+constexpr Duration CrashAnnounceDelay = 20ms;
 
 /// Routers that keep the evidence against one request: enough that one of them is there and hears
 /// all of it while others start or are cut off. In a small fleet all do.
-constexpr std::size_t EvidenceKeepers = 8;
+constexpr std::size_t EvidenceHolders = 8;
 
 /// First ends in one datagram, some 90 bytes each.
-constexpr std::size_t MaxFirstEnds = 7;
+constexpr std::size_t MaxFirstCrashes = 7;
 
 /// Parts of prompts that one beat tells of: it has to fit one datagram of 1,200 bytes with the
 /// counts. More are only told at over 100 prompts a second and router, and are hints.
@@ -61,7 +61,7 @@
 /// A peer on the same platform answers in milliseconds; another one is asked after this silence. A
 /// transfer that goes on is not given up for being long: over a link of 10 Mbit/s that also carries
 /// streams a large configuration takes a second, and what was sent of it would be lost.
-constexpr Duration PeerSilence = 600ms;
+constexpr Duration PeerTimeout = 600ms;
 
 /// Longest transfer, as a multiple of the time in which changes have to be in force. By then the
 /// store has been asked.
@@ -97,20 +97,21 @@
     void sendToAll(const RouterHeartbeat &heartbeat) { sendToNext(view.addressCount(), heartbeat); }
     void noteUnanswered();
     void heartbeat();
-    void tellCrashes();
-    void tellFirstEnds();
+    void announceCrashes();
+    void announceFirstCrashes();
     void ask();
     void received(std::string_view datagram);
     void receivedUnverified(const std::string &text);
-    void takeEcho(const RouterHeartbeat &heartbeat);
-    void noticeNews(const RouterHeartbeat &heartbeat);
+    void applyEcho(const RouterHeartbeat &heartbeat);
+    void fetchIfNewer(const RouterHeartbeat &heartbeat);
     void fetchFrom(const FleetView::Peer &peer);
     void answerState(const HttpExchangePtr &exchange);
     PeerState stateSince(std::uint64_t revision, std::uint64_t replicasHash, bool withPrompts);
-    void takeAnswer(const std::string &name, const Result<HttpAnswer> &answer, TimePoint asked);
-    void takeState(const PeerState &state, TimePoint asked);
-    void takeConfig(const PeerState &state, TimePoint asked);
-    void takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
+    void handleStateAnswer(const std::string &name, const Result<HttpAnswer> &answer,
+                           TimePoint asked);
+    void applyState(const PeerState &state, TimePoint asked);
+    void applyConfig(const PeerState &state, TimePoint asked);
+    void applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
     const PeerState::Packed &replicasSince(std::uint64_t hash);
     std::string signedText(const std::string &text) const { return guard.sign(text) + "\n" + text; }
 
@@ -143,13 +144,13 @@
       view({.clock = options.loop,
             .self = options.settings.name,
             .selfAddress = options.settings.peerAddress,
-            .configApplyLimit = options.settings.configApplyLimit}),
+            .configApplyTimeout = options.settings.configApplyTimeout}),
       transport(options.loop, [this](const std::string &, std::string_view it) { received(it); }),
       server(options.loop, {.address = options.settings.peerAddress, .limits = {}},
              [this](const HttpExchangePtr &it) { answerState(it); }),
       timer(options.loop, [this] { heartbeat(); }), askTimer(options.loop, [this] { ask(); }),
-      crashTimer(options.loop, [this] { tellCrashes(); }),
-      catchUp({.configApplyLimit = options.settings.configApplyLimit}),
+      crashTimer(options.loop, [this] { announceCrashes(); }),
+      catchUp({.configApplyTimeout = options.settings.configApplyTimeout}),
       incarnation(static_cast<std::uint64_t>(options.loop.wallNow().time_since_epoch().count()))
 {
     options.config.changed().connect(
@@ -222,37 +223,37 @@
     if (!hasKey)
         return;
     RouterHeartbeat out = compose();
-    out.crashes = options.takeCrashNews();
+    out.crashes = options.takeCrashUpdates();
     out.prompts = prompts.take(view.heartbeatsPerRound(),
                                out.crashes.empty() ? MaxPromptParts : MaxPromptPartsBesideCrashes);
     sendToNext(FleetView::HeartbeatFanout, out);
-    tellFirstEnds();
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellCrashes()
+void FleetTask::Private::announceCrashes()
 {
     if (!hasKey)
         return;
-    if (std::vector<CrashUpdate> news = options.takeCrashNews(); !news.empty()) {
+    if (std::vector<CrashUpdate> updates = options.takeCrashUpdates(); !updates.empty()) {
         RouterHeartbeat out = compose();
-        out.crashes = std::move(news);
+        out.crashes = std::move(updates);
         sendToNext(UrgentFanout, out);
     }
-    tellFirstEnds();
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellFirstEnds()
+void FleetTask::Private::announceFirstCrashes()
 {
-    std::map<std::string, std::vector<CrashUpdate>> byKeeper;
+    std::map<std::string, std::vector<CrashUpdate>> byHolder;
     for (const CrashUpdate &it : options.takeFirstCrashes()) {
-        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceKeepers))
-            byKeeper[address].push_back(it);
+        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceHolders))
+            byHolder[address].push_back(it);
     }
-    for (const auto &[address, news] : byKeeper) {
-        for (std::size_t i = 0; i < news.size(); i += MaxFirstEnds) {
+    for (const auto &[address, updates] : byHolder) {
+        for (std::size_t i = 0; i < updates.size(); i += MaxFirstCrashes) {
             RouterHeartbeat out = compose();
-            const std::size_t n = std::min(MaxFirstEnds, news.size() - i);
-            const auto part = std::span(news).subspan(i, n);
+            const std::size_t n = std::min(MaxFirstCrashes, updates.size() - i);
+            const auto part = std::span(updates).subspan(i, n);
             out.crashes.assign(part.begin(), part.end());
             send(address, out);
         }
@@ -263,7 +264,7 @@
 {
     const TimePoint now = options.loop.now();
     std::erase_if(asks, [&](const Ask &it) {
-        const bool overdue = now - it.at > PeerSilence;
+        const bool overdue = now - it.at > PeerTimeout;
         if (overdue)
             view.noteUnanswered(it.reader, it.at);
         return overdue;
@@ -313,18 +314,18 @@
     // Before the proof that stands for them too.
     options.evacuated.accept(heartbeat.evacuated);
     if (heartbeat.echo != 0)
-        takeEcho(heartbeat);
-    noticeNews(heartbeat);
-    options.onBeat(heartbeat);
+        applyEcho(heartbeat);
+    fetchIfNewer(heartbeat);
+    options.onHeartbeat(heartbeat);
 }
 
 void FleetTask::Private::receivedUnverified(const std::string &text)
 {
     if (const Result<RouterHeartbeat> read = codec.unpack(text))
-        options.onUnverifiedBeat(read.value());
+        options.onUnverifiedHeartbeat(read.value());
 }
 
-void FleetTask::Private::takeEcho(const RouterHeartbeat &heartbeat)
+void FleetTask::Private::applyEcho(const RouterHeartbeat &heartbeat)
 {
     // Only an answer proves anything: a datagram may have waited here for as long as this VM was
     // suspended, but an answer was sent after its ask.
@@ -341,7 +342,7 @@
                                  asked - heartbeat.replicasAge);
 }
 
-void FleetTask::Private::noticeNews(const RouterHeartbeat &heartbeat)
+void FleetTask::Private::fetchIfNewer(const RouterHeartbeat &heartbeat)
 {
     const PeerCatchUp::Known own{.revision = options.config.revision(),
                                  .proofAge = options.config.proofAge(),
@@ -402,7 +403,7 @@
     return packedReplicas.emplace(hash, PeerState::Packed::of(update.encode())).first->second;
 }
 
-void FleetTask::Private::takeConfig(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyConfig(const PeerState &state, TimePoint asked)
 {
     const RouteConfigPtr &own = options.config.config();
     // The answer may be to an older question: a change of what was in force then is of no use now.
@@ -416,7 +417,7 @@
         Log::warning("peer_state_malformed", {{"detail", text.error().detail}});
 }
 
-void FleetTask::Private::takeReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
+void FleetTask::Private::applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
 {
     const Result<std::string> text = packed.text();
     const Result<ReplicaUpdate> update =
@@ -427,16 +428,16 @@
         Log::info("peer_replicas_unusable", {{"detail", "they change a list that is not known"}});
 }
 
-void FleetTask::Private::takeState(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyState(const PeerState &state, TimePoint asked)
 {
     options.evacuated.accept(state.evacuated);
     // An age of Duration::max() comes with nothing that it would date.
     if (state.config)
-        takeConfig(state, asked);
+        applyConfig(state, asked);
     else if (state.revision != 0)
         options.config.confirm(state.revision, asked - state.proofAge);
     if (state.replicas)
-        takeReplicas(*state.replicas, asked - state.replicasAge);
+        applyReplicas(*state.replicas, asked - state.replicasAge);
     else if (state.replicasAge != Duration::max())
         options.replicas.confirm(state.replicasHash, state.replicasVersion,
                                  asked - state.replicasAge);
@@ -461,10 +462,10 @@
 
 void FleetTask::applySettings()
 {
-    const Duration limit = m_d->options.settings.configApplyLimit;
-    m_d->view.setConfigApplyLimit(limit);
-    m_d->catchUp.setConfigApplyLimit(limit);
-    m_d->askTimer.startRepeating(scaled(limit, AskPart));
+    const Duration limit = m_d->options.settings.configApplyTimeout;
+    m_d->view.setConfigApplyTimeout(limit);
+    m_d->catchUp.setConfigApplyTimeout(limit);
+    m_d->askTimer.startRepeating(scaled(limit, AskIntervalFraction));
 }
 
 void FleetTask::setKey(const SharedKey &key)
@@ -482,7 +483,7 @@
 void FleetTask::leave()
 {
     m_d->leaving = true;
-    tellAll();
+    announceToAll();
 }
 
 void FleetTask::fetchFromPeer()
@@ -491,24 +492,24 @@
         m_d->fetchFrom(*peer);
 }
 
-void FleetTask::tellAll()
+void FleetTask::announceToAll()
 {
     m_d->sendToAll(m_d->compose());
 }
 
-void FleetTask::tellEjected()
+void FleetTask::announceEjection()
 {
     m_d->sendToNext(UrgentFanout, m_d->compose());
 }
 
-void FleetTask::tellCrashes()
+void FleetTask::announceCrashes()
 {
     if (!m_d->crashTimer.isPending())
-        m_d->crashTimer.start(CrashTellDelay);
+        m_d->crashTimer.start(CrashAnnounceDelay);
 }
 
-void FleetTask::tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
-                           std::span<const std::string> addresses)
+void FleetTask::announceDiscovered(const std::string &replica, std::span<const std::uint64_t> parts,
+                                   std::span<const std::string> addresses)
 {
     do {
         const std::size_t n = std::min(parts.size(), MaxPromptParts);
@@ -546,17 +547,17 @@
             {.address = peer.heartbeat.peerAddress,
              .target = std::move(target),
              .headers = {{SignatureHeader, std::move(signature)}},
-             .timeout = StateTimeoutFactor * options.settings.configApplyLimit,
-             .progressTimeout = PeerSilence,
+             .timeout = StateTimeoutFactor * options.settings.configApplyTimeout,
+             .progressTimeout = PeerTimeout,
              .maxBodyBytes = MaxStateBody},
             [this, asked, name = peer.heartbeat.name](const Result<HttpAnswer> &answer) {
                 fetching = false;
-                takeAnswer(name, answer, asked);
+                handleStateAnswer(name, answer, asked);
             });
 }
 
-void FleetTask::Private::takeAnswer(const std::string &name, const Result<HttpAnswer> &answer,
-                                    TimePoint asked)
+void FleetTask::Private::handleStateAnswer(const std::string &name,
+                                           const Result<HttpAnswer> &answer, TimePoint asked)
 {
     if (!answer || answer.value().head.status != 200) {
         Log::info("peer_state_missed",
@@ -571,7 +572,7 @@
     }
     const Result<PeerState> state = PeerState::decode(body.substr(end + 1));
     if (state)
-        takeState(state.value(), asked);
+        applyState(state.value(), asked);
     else
         Log::warning("peer_state_malformed", {{"router", name}, {"detail", state.error().detail}});
 }
--- a/src/Net/FleetTask.h
+++ b/src/Net/FleetTask.h
@@ -38,12 +38,12 @@
         std::function<Duration()> storeUnansweredFor; ///< \sa RouterHeartbeat::storeUnansweredFor
         std::function<ReplicaStatusUpdate()> ownStatusUpdate;
         std::function<std::vector<CrashUpdate>()>
-                takeCrashNews; ///< \sa RequestQuarantine::takeUpdates
+                takeCrashUpdates; ///< \sa RequestQuarantine::takeUpdates
         /// \sa RequestQuarantine::takeFirstCrashes
         std::function<std::vector<CrashUpdate>()> takeFirstCrashes;
-        std::function<void(const RouterHeartbeat &)> onBeat;
+        std::function<void(const RouterHeartbeat &)> onHeartbeat;
         /// Told of each beat that can't be verified yet, for want of the key: a hint at most.
-        std::function<void(const RouterHeartbeat &)> onUnverifiedBeat =
+        std::function<void(const RouterHeartbeat &)> onUnverifiedHeartbeat =
                 [](const RouterHeartbeat &) {};
         /// Takes the configuration that a peer read, with the moment at which the read began.
         std::function<void(const std::string &text, TimePoint readStartedAt)> onConfigText;
@@ -70,8 +70,8 @@
 
     /// \brief Tells the routers at \a addresses at once that \a replica was asked what it keeps,
     /// and that it keeps \a parts.
-    void tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
-                    std::span<const std::string> addresses);
+    void announceDiscovered(const std::string &replica, std::span<const std::uint64_t> parts,
+                            std::span<const std::string> addresses);
 
     /// \returns when this process started, as its beats tell it.
     std::uint64_t incarnation() const;
@@ -83,13 +83,13 @@
     void fetchFromPeer();
 
     /// \brief Tells all routers at once, because something has changed here.
-    void tellAll();
+    void announceToAll();
 
     /// \brief Tells several routers at once that this one has ejected a replica.
-    void tellEjected();
+    void announceEjection();
 
     /// \brief Tells several routers, within milliseconds, under which requests replicas ended.
-    void tellCrashes();
+    void announceCrashes();
 
     /// \returns whether this router reads the store for the others.
     bool isReader() const;
--- a/src/Net/ForwardTask.cpp
+++ b/src/Net/ForwardTask.cpp
@@ -18,7 +18,7 @@
 constexpr int MaxAttempts = 3;
 
 /// Upstreams that may end under one request: the second may have ended by chance.
-constexpr int MaxEndedUpstreams = 2;
+constexpr int MaxCrashedUpstreams = 2;
 
 /// Leaves room for the suffix within the longest id that a router takes from another.
 constexpr std::size_t MaxIdPrefix = 96;
@@ -430,25 +430,25 @@
 {
     const bool broke =
             error.reason == Reason::UpstreamBroken || error.reason == Reason::UpstreamUnreachable;
-    const bool mayHaveEnded = broke && error.verdict == Verdict::MayHaveRun && m_placed
+    const bool mayHaveCrashed = broke && error.verdict == Verdict::MayHaveRun && m_placed
             && !m_assignment.relayed && !m_callerLeft;
-    mayHaveEnded ? checkUpstreamEnd(error) : failed(error);
+    mayHaveCrashed ? checkForCrash(error) : failed(error);
 }
 
-void ForwardTask::checkUpstreamEnd(const Error &error)
+void ForwardTask::checkForCrash(const Error &error)
 {
-    const CrashWatch::BrokenRun run{.requestId = m_request.id,
-                                    .fingerprint = fingerprint(),
-                                    .replica = m_assignment.upstream,
-                                    .software = software(),
-                                    .address = m_assignment.address,
-                                    .sentAt = m_started};
-    m_options.crashes.runBroke(run, CrashWatch::Patience::Long,
-                               [self = shared_from_this(), error](bool ended) {
-                                   self->m_endedUpstreams += ended ? 1 : 0;
-                                   if (!self->m_closed)
-                                       self->failed(error);
-                               });
+    const CrashWatch::BrokenAttempt attempt{.requestId = m_request.id,
+                                            .fingerprint = fingerprint(),
+                                            .replica = m_assignment.upstream,
+                                            .software = software(),
+                                            .address = m_assignment.address,
+                                            .sentAt = m_started};
+    m_options.crashes.checkReplica(attempt, CrashWatch::AliveCriterion::StaysOpen,
+                                   [self = shared_from_this(), error](bool ended) {
+                                       self->m_crashedUpstreams += ended ? 1 : 0;
+                                       if (!self->m_closed)
+                                           self->failed(error);
+                                   });
 }
 
 // --- The end ---
@@ -456,10 +456,10 @@
 void ForwardTask::failed(const Error &error)
 {
     // The connection broke before the stream began: the engine may be generating all the same.
-    const bool unheard = !m_stream && m_request.kind == RequestKind::Chat && m_request.streamed
+    const bool unanswered = !m_stream && m_request.kind == RequestKind::Chat && m_request.streamed
             && !m_assignment.relayed && error.verdict == Verdict::MayHaveRun
             && error.reason != Reason::AnswerMismatch && !m_callerLeft;
-    if (unheard) {
+    if (unanswered) {
         openStream(streamSource(), -1);
         m_stream->resume();
         return;
@@ -506,10 +506,10 @@
 bool ForwardTask::mayRetry(const VerdictRule &rule, const Error &error)
 {
     // Once it is suspect, the others of the service are spared its second attempt.
-    if (m_endedUpstreams > 0 && m_options.quarantine.suspicion(fingerprint()) > 1)
+    if (m_crashedUpstreams > 0 && m_options.quarantine.suspicion(fingerprint()) > 1)
         return false;
     return m_options.pool && rule.mayRetry && m_request.attempts < MaxAttempts
-            && now() < m_request.deadline && m_endedUpstreams < MaxEndedUpstreams
+            && now() < m_request.deadline && m_crashedUpstreams < MaxCrashedUpstreams
             && m_options.pool->mayRetry(m_job, error.reason);
 }
 
--- a/src/Net/ForwardTask.h
+++ b/src/Net/ForwardTask.h
@@ -68,7 +68,7 @@
     const std::string &fingerprint();
     std::string software() const;
     std::optional<Error> quarantineError();
-    void checkUpstreamEnd(const Error &error);
+    void checkForCrash(const Error &error);
 
     // The end.
     void attemptFailed(const Error &error);
@@ -103,7 +103,7 @@
     TimePoint m_started;
     TimePoint m_firstByte;
     std::string m_fingerprint; ///< Empty until it is needed.
-    int m_endedUpstreams = 0; ///< Under attempts of this request.
+    int m_crashedUpstreams = 0; ///< Under attempts of this request.
     bool m_freshConnection = false; ///< A pooled one was silent.
     bool m_direct = false; ///< The owner is draining: go to the engine without it.
     bool m_callerLeft = false;
--- a/src/Net/Forwarder.cpp
+++ b/src/Net/Forwarder.cpp
@@ -1,6 +1,6 @@
 #include "Net/Forwarder.h"
 
-#include "Net/ClaimPump.h"
+#include "Net/ClaimDriver.h"
 #include "Net/EventLoop.h"
 #include "Net/ForwardTask.h"
 #include "Net/HttpClient.h"
@@ -29,7 +29,7 @@
     Options options;
     RequestQuarantine quarantine;
     CrashWatch crashes;
-    ClaimPump claims;
+    ClaimDriver claims;
     std::map<std::string, std::unique_ptr<Dispatcher>> pools;
     std::set<std::shared_ptr<ForwardTask>> tasks;
     std::size_t buffered = 0; ///< Bytes held for all callers.
@@ -41,11 +41,11 @@
     : options(std::move(o)), quarantine({.clock = options.loop, .random = options.random}),
       crashes({.loop = options.loop,
                .metrics = options.metrics,
-               .runEnded =
-                       [this](const CrashWatch::BrokenRun &it, TimePoint endedAt) {
+               .attemptCrashed =
+                       [this](const CrashWatch::BrokenAttempt &it, TimePoint crashedAt) {
                            // An upstream is known by its address, whatever process runs there.
                            const auto ms =
-                                   endedAt.time_since_epoch() / std::chrono::milliseconds(1);
+                                   crashedAt.time_since_epoch() / std::chrono::milliseconds(1);
                            quarantine.replicaCrashed(it.fingerprint,
                                                      fmt::format("{}~{}", it.replica, ms),
                                                      it.software);
@@ -115,7 +115,7 @@
 {
     auto task = std::make_shared<ForwardTask>(
             ForwardTask::Options{.router = options,
-                                 .claims = claims.keeper(),
+                                 .claims = claims.manager(),
                                  .quarantine = quarantine,
                                  .crashes = crashes,
                                  .buffered = buffered,
--- a/src/Net/ConnectionHeaders.cpp
+++ b/src/Net/HopByHopHeaders.cpp
@@ -1,4 +1,4 @@
-#include "Net/ConnectionHeaders.h"
+#include "Net/HopByHopHeaders.h"
 
 #include <algorithm>
 #include <array>
@@ -29,7 +29,7 @@
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-ConnectionHeaders::ConnectionHeaders(const HttpHeaders &headers)
+HopByHopHeaders::HopByHopHeaders(const HttpHeaders &headers)
 {
     for (const HttpHeader &it : headers) {
         if (!sameHeader(it.first, "Connection"))
@@ -43,7 +43,7 @@
     }
 }
 
-bool ConnectionHeaders::contains(std::string_view name) const
+bool HopByHopHeaders::contains(std::string_view name) const
 {
     const auto same = [name](std::string_view it) { return sameHeader(name, it); };
     return std::any_of(WellKnown.begin(), WellKnown.end(), same)
--- a/src/Net/ConnectionHeaders.h
+++ b/src/Net/HopByHopHeaders.h
@@ -12,11 +12,11 @@
 
 /// \brief The headers of a message that belong to its connection and are never passed on: the
 /// well-known ones and those that its Connection header names.
-class ConnectionHeaders
+class HopByHopHeaders
 {
 public:
     /// \param headers has to outlive this.
-    explicit ConnectionHeaders(const HttpHeaders &headers);
+    explicit HopByHopHeaders(const HttpHeaders &headers);
 
     bool contains(std::string_view name) const;
 
--- a/src/Net/HttpClient.cpp
+++ b/src/Net/HttpClient.cpp
@@ -23,7 +23,7 @@
 
 /// Part of the time granted by Keep-Alive after which a connection is not used any more. A request
 /// that crosses the upstream's close may not be sent again if it is not idempotent.
-constexpr int KeepAlivePart = 2;
+constexpr int KeepAliveDivisor = 2;
 
 struct IdleConnection
 {
@@ -35,7 +35,7 @@
 struct TakenConnection
 {
     std::unique_ptr<HttpConnection> connection;
-    Duration rested = Duration::zero(); ///< Zero: it is new.
+    Duration idleTime = Duration::zero(); ///< Zero: it is new.
 };
 
 } // namespace
@@ -64,9 +64,9 @@
         return (call.secure ? "tls " : "") + call.address;
     }
 
-    static Duration longestIdle(const HttpCall &call, const IdleConnection &it)
+    static Duration maxIdleTime(const HttpCall &call, const IdleConnection &it)
     {
-        const Duration granted = it.connection->keepAlive() / KeepAlivePart;
+        const Duration granted = it.connection->keepAlive() / KeepAliveDivisor;
         return std::min({MaxIdleAge, call.maxIdleAge, granted});
     }
 
@@ -76,9 +76,9 @@
         while (!call.freshConnection && !list.empty()) {
             IdleConnection it = std::move(list.back());
             list.pop_back();
-            const Duration rested = loop.now() - it.since;
-            if (it.connection->isReusable() && rested < longestIdle(call, it))
-                return {std::move(it.connection), rested};
+            const Duration idleTime = loop.now() - it.since;
+            if (it.connection->isReusable() && idleTime < maxIdleTime(call, it))
+                return {std::move(it.connection), idleTime};
             retire(std::move(it.connection));
         }
         return {call.secure ? HttpConnection::openSecure(loop, call.address, tls)
@@ -116,10 +116,10 @@
 
     Call(EventLoop &loop, TakenConnection taken, HttpCall call, HttpCallEvents events,
          GiveBack giveBack)
-        : m_connection(std::move(taken.connection)), m_rested(taken.rested),
+        : m_connection(std::move(taken.connection)), m_idleTime(taken.idleTime),
           m_events(std::move(events)), m_giveBack(std::move(giveBack)),
           m_progressTimeout(call.progressTimeout),
-          m_silenceLimit(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
+          m_silenceTimeout(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
           m_deadline(loop, [this] { timedOut(); }), m_progress(loop, [this] { checkProgress(); }),
           m_connect(loop, [this] { checkConnected(); })
     {
@@ -128,7 +128,7 @@
             m_connect.start(call.connectTimeout);
         noteProgress();
         if (m_progressTimeout > Duration::zero())
-            m_progress.start(m_silenceLimit);
+            m_progress.start(m_silenceTimeout);
         m_connection->start(call,
                             {.onHead =
                                      [this](const HttpHead &head) {
@@ -149,12 +149,12 @@
     ~Call() override
     {
         if (m_connection) {
-            m_connection->mute();
+            m_connection->detach();
             m_giveBack(std::move(m_connection));
         }
     }
 
-    Duration rested() const override { return m_rested; }
+    Duration idleTime() const override { return m_idleTime; }
 
     void pause() override
     {
@@ -178,26 +178,26 @@
 
     void noteFirstByte()
     {
-        if (m_silenceLimit == m_progressTimeout)
+        if (m_silenceTimeout == m_progressTimeout)
             return;
-        m_silenceLimit = m_progressTimeout;
-        m_progress.start(m_silenceLimit);
+        m_silenceTimeout = m_progressTimeout;
+        m_progress.start(m_silenceTimeout);
     }
 
     void checkProgress()
     {
         const Duration silence = m_paused ? Duration::zero() : m_loop.now() - m_lastProgress;
-        if (silence >= m_silenceLimit)
+        if (silence >= m_silenceTimeout)
             timedOut();
         else
-            m_progress.start(m_silenceLimit - silence);
+            m_progress.start(m_silenceTimeout - silence);
     }
 
     void checkConnected()
     {
         if (m_connection->verdict() != Verdict::NotRun)
             return;
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamUnreachable,
                      .verdict = Verdict::NotRun,
                      .detail = "no connection in time",
@@ -207,7 +207,7 @@
     void timedOut()
     {
         const Verdict verdict = m_connection->verdict();
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamTimeout,
                      .verdict = verdict,
                      .detail = "no answer in time",
@@ -226,11 +226,12 @@
     }
 
     std::unique_ptr<HttpConnection> m_connection;
-    Duration m_rested;
+    Duration m_idleTime;
     HttpCallEvents m_events;
     GiveBack m_giveBack;
     Duration m_progressTimeout;
-    Duration m_silenceLimit; ///< Longer until the first byte of the body, where that was asked for.
+    Duration m_silenceTimeout; ///< Longer until the first byte of the body, where that was asked
+                               ///< for.
     bool m_paused = false;
     TimePoint m_lastProgress;
     EventLoop &m_loop;
--- a/src/Net/HttpClient.h
+++ b/src/Net/HttpClient.h
@@ -30,7 +30,7 @@
     /// Oldest idle connection that is reused; besides, half of what the upstream's Keep-Alive
     /// grants is the limit.
     Duration maxIdleAge = std::chrono::seconds(20);
-    bool takesUnframed = false; ///< An answer may state no length and end with its connection.
+    bool acceptsUnframed = false; ///< An answer may state no length and end with its connection.
     bool secure = false; ///< Over TLS, to an upstream whose certificate names its address.
 };
 
@@ -71,7 +71,7 @@
     virtual void resume() = 0;
 
     /// \returns how long its connection had rested before; zero for a new one.
-    virtual Duration rested() const = 0;
+    virtual Duration idleTime() const = 0;
 };
 
 using HttpCallPtr = std::unique_ptr<HttpCallHandle>;
--- a/src/Net/EngineHttp.cpp
+++ b/src/Net/HttpEngineClient.cpp
@@ -1,4 +1,4 @@
-#include "Net/EngineHttp.h"
+#include "Net/HttpEngineClient.h"
 
 #include "Base/Json.h"
 #include "Net/EventLoop.h"
@@ -161,35 +161,36 @@
 
 } // namespace
 
-EngineHttp::EngineHttp(Options options) : m_options(std::move(options)) { }
+HttpEngineClient::HttpEngineClient(Options options) : m_options(std::move(options)) { }
 
-void EngineHttp::fetch(HttpCall call, Receiver done)
+void HttpEngineClient::fetch(HttpCall call, Receiver done)
 {
     call.secure = m_options.secure;
     m_options.sent(PacketHeaders + RequestLine + call.target.size() + call.body.size());
     m_options.client.fetch(std::move(call), std::move(done));
 }
 
-void EngineHttp::readLoad(std::string address, Callback<EngineLoad> done)
+void HttpEngineClient::readLoad(std::string address, Callback<EngineLoad> done)
 {
     HttpCall call = makeCall(std::move(address), "/v1/load", ReadTimeout);
     fetch(std::move(call), objectReceiver<EngineLoad>(std::move(done), &loadOf));
 }
 
-void EngineHttp::readCacheEvents(std::string address, std::uint64_t after, Callback<CacheFeed> done)
+void HttpEngineClient::readCacheEvents(std::string address, std::uint64_t after,
+                                       Callback<CacheFeed> done)
 {
     HttpCall call = makeCall(std::move(address), fmt::format("/v1/cache-events?after={}", after),
                              ReadTimeout);
     fetch(std::move(call), objectReceiver<CacheFeed>(std::move(done), &feedOf));
 }
 
-void EngineHttp::readState(std::string address, Callback<EngineState> done)
+void HttpEngineClient::readState(std::string address, Callback<EngineState> done)
 {
     HttpCall call = makeCall(std::move(address), "/v1/state", ReadTimeout);
     fetch(std::move(call), objectReceiver<EngineState>(std::move(done), &stateOf));
 }
 
-void EngineHttp::sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done)
+void HttpEngineClient::sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done)
 {
     HttpCall call = makePost(std::move(address), "/v1/orders", OrderTimeout, toJson(order));
     // A connection that has gone silent would leave the order in doubt for the whole timeout.
@@ -210,7 +211,7 @@
     });
 }
 
-void EngineHttp::exportKv(std::string address, std::string chat, Callback<std::string> done)
+void HttpEngineClient::exportKv(std::string address, std::string chat, Callback<std::string> done)
 {
     Json::Value body;
     body["chat"] = chat;
@@ -223,8 +224,8 @@
                            }));
 }
 
-void EngineHttp::importKv(std::string address, std::string chat, std::string blob,
-                          Callback<void> done)
+void HttpEngineClient::importKv(std::string address, std::string chat, std::string blob,
+                                Callback<void> done)
 {
     Json::Value body;
     body["chat"] = chat;
@@ -242,26 +243,26 @@
                            });
 }
 
-void EngineHttp::requestWeights(std::string model, std::string version, Callback<void> done)
+void HttpEngineClient::requestWeights(std::string model, std::string version, Callback<void> done)
 {
     if (m_options.weightStore.empty()) {
         done(outcome::success());
         return;
     }
-    struct Asking
+    struct WeightRequest
     {
         HttpCallPtr call;
         Callback<void> done;
     };
-    auto state = std::make_shared<Asking>();
+    auto state = std::make_shared<WeightRequest>();
     state->done = std::move(done);
     // Only whether the store would give them is asked; the call is dropped before the weights come,
     // outside of its own hooks.
     const auto finish = [&loop = m_options.loop, state](const Result<void> &result) {
         loop.post([state, result] {
             state->call.reset();
-            if (const auto tell = std::exchange(state->done, nullptr))
-                tell(result);
+            if (const auto notify = std::exchange(state->done, nullptr))
+                notify(result);
         });
     };
     state->call = m_options.client.send(
--- a/src/Net/EngineHttp.h
+++ b/src/Net/HttpEngineClient.h
@@ -15,7 +15,7 @@
 
 /// \brief The engines' control interface and the weight store over HTTP; docs/INTERFACES.md has
 /// their format.
-class EngineHttp final : public EngineClient
+class HttpEngineClient final : public EngineClient
 {
 public:
     struct Options
@@ -28,7 +28,7 @@
         std::function<void(std::size_t)> sent = [](std::size_t) {};
     };
 
-    explicit EngineHttp(Options options);
+    explicit HttpEngineClient(Options options);
 
     void readLoad(std::string address, Callback<EngineLoad> done) override;
     void readCacheEvents(std::string address, std::uint64_t after,
--- a/src/Net/HttpServer.cpp
+++ b/src/Net/HttpServer.cpp
@@ -3,7 +3,7 @@
 #include "Base/Log.h"
 #include "Net/EventLoop.h"
 #include "Net/TlsContext.h"
-#include "Net/internal/ConnectionCensus.h"
+#include "Net/internal/ConnectionLimiter.h"
 #include "Net/internal/Timeval.h"
 #include "Net/internal/TlsStream.h"
 
@@ -31,7 +31,7 @@
 
 /// Sent in the clear to a connection over the limit before it is closed, as far as the socket takes
 /// it.
-constexpr std::string_view TooManyAnswer =
+constexpr std::string_view TooManyConnectionsAnswer =
         "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n"
         "Content-Type: application/problem+json\r\nContent-Length: 53\r\n\r\n"
         R"({"reason":"too_many_connections","verdict":"not_run"})";
@@ -45,7 +45,7 @@
     Handler handler;
     evhttp *http = nullptr;
     evhttp_bound_socket *bound = nullptr;
-    internal::ConnectionCensus census;
+    internal::ConnectionLimiter limiter;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     static void onRequest(evhttp_request *request, void *arg)
@@ -75,14 +75,15 @@
 
     void checkLimit(int fd)
     {
-        if (census.admit(fd))
+        if (limiter.admit(fd))
             return;
         if (!usesTls())
-            send(fd, TooManyAnswer.data(), TooManyAnswer.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+            send(fd, TooManyConnectionsAnswer.data(), TooManyConnectionsAnswer.size(),
+                 MSG_DONTWAIT | MSG_NOSIGNAL);
         // evhttp sees the end and frees the connection by its own rules.
         shutdown(fd, SHUT_RDWR);
-        if (options.onTooMany)
-            options.onTooMany();
+        if (options.onTooManyConnections)
+            options.onTooManyConnections();
     }
 };
 
@@ -91,7 +92,7 @@
             Private{.loop = loop,
                     .options = options,
                     .handler = std::move(handler),
-                    .census = internal::ConnectionCensus(loop, options.limits.maxConnections)}))
+                    .limiter = internal::ConnectionLimiter(loop, options.limits.maxConnections)}))
 {
     m_d->http = evhttp_new(loop.base());
     const ListenerLimits &limits = m_d->options.limits;
--- a/src/Net/HttpServer.h
+++ b/src/Net/HttpServer.h
@@ -24,7 +24,7 @@
         std::string address; ///< `ip:port`; port 0 is not allowed.
         ListenerLimits limits = {};
         /// Told of each connection that was closed because there were limits.maxConnections.
-        std::function<void()> onTooMany = {};
+        std::function<void()> onTooManyConnections = {};
         const TlsContext *tls = nullptr; ///< With a certificate: callers have to speak TLS.
     };
 
--- a/src/Net/LogWriter.cpp
+++ b/src/Net/LogWriter.cpp
@@ -36,7 +36,7 @@
         m_timer.start(m_options.interval);
 }
 
-bool LogWriter::hasRoomBelow() const
+bool LogWriter::isWritable() const
 {
     pollfd it{.fd = m_options.fd, .events = POLLOUT, .revents = 0};
     return poll(&it, 1, 0) == 1 && (it.revents & POLLOUT) != 0;
@@ -46,7 +46,7 @@
 {
     std::size_t done = 0;
     // A pipe that is writable takes PIPE_BUF bytes without blocking.
-    while (done < m_buffer.size() && hasRoomBelow()) {
+    while (done < m_buffer.size() && isWritable()) {
         const std::size_t n = std::min<std::size_t>(PIPE_BUF, m_buffer.size() - done);
         const ssize_t written = ::write(m_options.fd, m_buffer.data() + done, n);
         if (written <= 0)
--- a/src/Net/LogWriter.h
+++ b/src/Net/LogWriter.h
@@ -42,7 +42,7 @@
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
-    bool hasRoomBelow() const;
+    bool isWritable() const;
 
     Options m_options;
     Timer m_timer;
--- a/src/Net/OperatorPages.cpp
+++ b/src/Net/OperatorPages.cpp
@@ -23,10 +23,10 @@
 
 /// Other routers that hold a revision before it is called accepted: with the one that took the
 /// change, two VMs may fail at once during a store outage and it is still in force.
-constexpr std::size_t SpreadWanted = 2;
+constexpr std::size_t RequiredHolders = 2;
 
 /// How long an answer waits for that. The change is committed; the answer then says so.
-constexpr Duration SpreadWait = std::chrono::seconds(2);
+constexpr Duration PropagationTimeout = std::chrono::seconds(2);
 
 constexpr std::size_t HistoryPage = 100;
 
@@ -206,9 +206,9 @@
         return;
     }
     const std::uint64_t revision = result.value();
-    const std::size_t wanted = std::min(SpreadWanted, m_options.membership.liveCount());
+    const std::size_t wanted = std::min(RequiredHolders, m_options.membership.liveCount());
     m_options.propagator.awaitHolders(
-            revision, wanted, m_options.clock.now() + SpreadWait,
+            revision, wanted, m_options.clock.now() + PropagationTimeout,
             [exchange, revision, wanted](std::size_t holders) {
                 exchange->respond(
                         200, JsonType,
--- a/src/Net/RequestEvent.cpp
+++ b/src/Net/RequestEvent.cpp
@@ -15,7 +15,7 @@
 }
 
 /// \returns what stands in every line about a request, followed by \a more.
-std::vector<LogField> withCommon(const RequestEvent &it, std::initializer_list<LogField> more)
+std::vector<LogField> withCommonFields(const RequestEvent &it, std::initializer_list<LogField> more)
 {
     std::vector<LogField> out{{"request_id", it.requestId},
                               {"route", it.route},
@@ -56,27 +56,27 @@
 {
     if (it.kind == RequestEvent::Kind::Sent) {
         Log::write(LogLevel::Info, requestEventName(it.kind),
-                   withCommon(it,
-                              {{"load", it.load},
-                               {"mean_load", it.meanLoad},
-                               {"candidates", it.candidates},
-                               {"kept_tokens", it.cachedPromptTokens},
-                               {"prompt_tokens", it.promptTokens},
-                               {"copied_from", it.copiedFrom}}));
+                   withCommonFields(it,
+                                    {{"load", it.load},
+                                     {"mean_load", it.meanLoad},
+                                     {"candidates", it.candidates},
+                                     {"kept_tokens", it.cachedPromptTokens},
+                                     {"prompt_tokens", it.promptTokens},
+                                     {"copied_from", it.copiedFrom}}));
         return;
     }
-    const bool well =
+    const bool succeeded =
             it.kind == RequestEvent::Kind::Answered || it.kind == RequestEvent::Kind::CallerGone;
-    std::vector<LogField> fields =
-            withCommon(it,
-                       {{"status", it.status},
-                        {"reason", it.reason ? reasonInfo(*it.reason).code : std::string_view()},
-                        {"verdict", toString(it.verdict)},
-                        {"retry_after_ms", it.retryAfter ? milliseconds(*it.retryAfter) : 0},
-                        {"detail", it.detail}});
+    std::vector<LogField> fields = withCommonFields(
+            it,
+            {{"status", it.status},
+             {"reason", it.reason ? reasonInfo(*it.reason).code : std::string_view()},
+             {"verdict", toString(it.verdict)},
+             {"retry_after_ms", it.retryAfter ? milliseconds(*it.retryAfter) : 0},
+             {"detail", it.detail}});
     if (!it.fingerprint.empty())
         fields.emplace_back("fingerprint", it.fingerprint);
-    Log::write(well ? LogLevel::Info : LogLevel::Warning, requestEventName(it.kind), fields);
+    Log::write(succeeded ? LogLevel::Info : LogLevel::Warning, requestEventName(it.kind), fields);
 }
 
 } // namespace catkinloft
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -24,17 +24,17 @@
 /// Polls a second of the whole fleet, each two reads. Without it 890 routers would take 1,780 of
 /// the 2,000 reads a second that the table service gives, and all at once when it comes back; so
 /// the pause grows with the number of routers. Changes come from peers meanwhile.
-constexpr double FleetPolls = 50;
+constexpr double FleetPollsPerSecond = 50;
 
 /// How often this router looks at itself: its load, and whether it is cut off.
-constexpr Duration SelfCheck = std::chrono::milliseconds(500);
+constexpr Duration SelfCheckInterval = std::chrono::milliseconds(500);
 
 /// Without a word from the store or any other router for so long, this one may have missed an
 /// accepted change and says so. Longer than a restart of the store and than several probes.
-constexpr Duration IsolationLimit = std::chrono::seconds(10);
+constexpr Duration IsolationTimeout = std::chrono::seconds(10);
 
 /// A load that is older than this says nothing about now.
-constexpr Duration LoadLife = std::chrono::seconds(5);
+constexpr Duration LoadLifetime = std::chrono::seconds(5);
 
 /// How often a draining process looks whether it is done.
 constexpr Duration DrainPoll = std::chrono::milliseconds(50);
@@ -74,7 +74,7 @@
                    .governor = peers.governor(),
                    .random = systemRandom(),
                    .weightStore = settings->platform.weightStore,
-                   .secure = tls.context().checksUpstreams()}),
+                   .secure = tls.context().verifiesUpstreams()}),
           gateway({.loop = loop,
                    .client = client,
                    .metrics = metrics,
@@ -93,7 +93,7 @@
           server(loop,
                  {.address = settings->callerAddress,
                   .limits = settings->limits,
-                  .onTooMany = [this] { metrics.refused(Reason::TooManyConnections); },
+                  .onTooManyConnections = [this] { metrics.refused(Reason::TooManyConnections); },
                   .tls = &tls.context()},
                  [this](const HttpExchangePtr &it) { gateway.handle(it); }),
           poll(loop, [this] { readPlatform(); }), selfCheck(loop, [this] { checkSelf(); }),
@@ -110,7 +110,7 @@
                 peers.membership().setVms(list.value());
         });
         const double n = static_cast<double>(peers.membership().liveCount() + 1);
-        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPolls));
+        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPollsPerSecond));
         poll.start(scaled(pause, 0.5 + uniform(random)));
     }
 
@@ -122,7 +122,7 @@
             // A suspect gets no callers and owns nothing until it has refuted the suspicion.
             if (it.state != MemberState::Alive && it.state != MemberState::Leaving)
                 continue;
-            const bool isFresh = it.loadReceivedWithin(LoadLife, loop.now());
+            const bool isFresh = it.loadReceivedWithin(LoadLifetime, loop.now());
             routers.push_back({.name = it.name,
                                .callerAddress = it.callerAddress,
                                .peerAddress = it.peerAddress,
@@ -137,9 +137,9 @@
     {
         peers.membership().setLoad(static_cast<std::uint32_t>(gateway.inProgress()));
         updateDirectory();
-        const TimePoint heard =
+        const TimePoint lastContactAt =
                 std::max({started, config.lastConfirmed(), peers.membership().lastReceivedAt()});
-        const bool isolated = loop.now() - heard > IsolationLimit;
+        const bool isolated = loop.now() - lastContactAt > IsolationTimeout;
         if (isolated != directory.isIsolated())
             Log::warning(isolated ? "isolated" : "connected_again",
                          {{"revision", config.digest().revision}});
@@ -227,7 +227,7 @@
     m_d->loop.onSignal(SIGINT, [this] { m_d->drain(); });
     m_d->engines.start();
     m_d->readPlatform();
-    m_d->selfCheck.startRepeating(SelfCheck);
+    m_d->selfCheck.startRepeating(SelfCheckInterval);
     Log::info("started", {{"caller_address", m_d->settings->callerAddress}});
     m_d->loop.run();
     return 0;
--- a/src/Net/ServicePools.cpp
+++ b/src/Net/ServicePools.cpp
@@ -21,18 +21,18 @@
     : m_clock(clock), m_random(std::move(random)), m_settings(settings), m_fleet(std::move(fleet))
 { }
 
-double ServicePools::coldLimitOf(const std::string &service) const
+double ServicePools::coldRateLimitOf(const std::string &service) const
 {
     const auto it = m_services.find(service);
     const double stated = it == m_services.end() ? 0 : it->second.coldRequestsPerSecond;
-    return stated > 0 ? stated * m_settings.coldFactor + m_settings.coldSlack : 0;
+    return stated > 0 ? stated * m_settings.coldRateFactor + m_settings.coldRateSlack : 0;
 }
 
 void ServicePools::setServices(const RouteConfig &config)
 {
     for (const ServiceConfig &it : config.services) {
         m_services[it.name] = it;
-        of(it.name).replicas.setColdRateLimit(coldLimitOf(it.name));
+        of(it.name).replicas.setColdRateLimit(coldRateLimitOf(it.name));
     }
 }
 
@@ -53,19 +53,19 @@
 void ServicePools::applySettings()
 {
     for (const auto &[service, pool] : m_pools) {
-        pool->repeats.setOptions(m_settings.repeatShare, m_settings.repeatSlack);
-        pool->replicas.setColdRateLimit(coldLimitOf(service));
+        pool->retryBudget.setOptions(m_settings.fleetRetryShare, m_settings.fleetRetrySlack);
+        pool->replicas.setColdRateLimit(coldRateLimitOf(service));
     }
 }
 
-void ServicePools::applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &news,
-                                     TimePoint heard)
+void ServicePools::applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &update,
+                                     TimePoint receivedAt)
 {
     for (const auto &[service, pool] : m_pools)
-        pool->replicas.applyStatusUpdate(router, news, heard);
+        pool->replicas.applyStatusUpdate(router, update, receivedAt);
 }
 
-void ServicePools::noteEnded(const std::string &replica, Duration pause)
+void ServicePools::noteCrashed(const std::string &replica, Duration pause)
 {
     for (const auto &[service, pool] : m_pools) {
         pool->replicas.excludeFor(replica, pause);
@@ -79,11 +79,11 @@
         pool->replicas.notePrompt(replica, parts);
 }
 
-PromptsByReplica ServicePools::prompts(std::size_t most) const
+PromptsByReplica ServicePools::prompts(std::size_t limit) const
 {
     PromptsByReplica out;
     for (const auto &[service, pool] : m_pools)
-        out.merge(pool->replicas.prompts(most));
+        out.merge(pool->replicas.prompts(limit));
     return out;
 }
 
@@ -114,14 +114,14 @@
                                  [this](const std::string &it) { return m_settings.regionOf(it); },
                          .routers = m_fleet.routers,
                          .isColdSender = m_fleet.isColdSender}),
-                .repeats = FleetRetryBudget({.clock = m_clock,
-                                             .share = m_settings.repeatShare,
-                                             .slack = m_settings.repeatSlack,
-                                             .window = m_settings.repeatWindow}),
-                .idle = ConnectionReusePolicy({.clock = m_clock}),
+                .retryBudget = FleetRetryBudget({.clock = m_clock,
+                                                 .share = m_settings.fleetRetryShare,
+                                                 .slack = m_settings.fleetRetrySlack,
+                                                 .window = m_settings.fleetRetryWindow}),
+                .connectionReuse = ConnectionReusePolicy({.clock = m_clock}),
                 .shedder = LoadShedder({.clock = m_clock, .random = m_random})});
         pool->replicas.setEvacuated(m_evacuated);
-        pool->replicas.setColdRateLimit(coldLimitOf(service));
+        pool->replicas.setColdRateLimit(coldRateLimitOf(service));
         pool->replicas.setReplicas(ofService(m_replicas, service));
     }
     return *pool;
@@ -131,9 +131,9 @@
 {
     ReplicaStatusUpdate out;
     for (const auto &[service, pool] : m_pools) {
-        ReplicaStatusUpdate news = pool->replicas.ownStatusUpdate();
-        out.counts.merge(news.counts);
-        out.ejected.insert(out.ejected.end(), news.ejected.begin(), news.ejected.end());
+        ReplicaStatusUpdate update = pool->replicas.ownStatusUpdate();
+        out.counts.merge(update.counts);
+        out.ejected.insert(out.ejected.end(), update.ejected.begin(), update.ejected.end());
     }
     return out;
 }
--- a/src/Net/ServicePools.h
+++ b/src/Net/ServicePools.h
@@ -24,10 +24,10 @@
 struct ServicePool
 {
     ReplicaPool replicas;
-    FleetRetryBudget repeats;
-    ConnectionReusePolicy idle;
+    FleetRetryBudget retryBudget;
+    ConnectionReusePolicy connectionReuse;
     LoadShedder shedder;
-    PrefillTimeout pace = {};
+    PrefillTimeout prefillEstimate = {};
 };
 
 /// \brief The pools of all services; one that is named once stays, so that calls may point at it.
@@ -60,18 +60,18 @@
 
     /// \brief Takes over the repeat budget and the limits of settings that have changed.
     void applySettings();
-    void applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &news,
-                           TimePoint heard);
+    void applyStatusUpdate(const std::string &router, const ReplicaStatusUpdate &update,
+                           TimePoint receivedAt);
 
     /// \brief Leaves \a replica out for \a pause, because it has ended; \sa
     /// ReplicaPool::noteUnreachable().
-    void noteEnded(const std::string &replica, Duration pause);
+    void noteCrashed(const std::string &replica, Duration pause);
 
     /// \brief Takes over that another router sent parts of prompts to replicas.
     void notePrompts(const std::string &replica, std::span<const std::uint64_t> parts);
 
-    /// \returns parts of prompts that replicas are believed to keep, at most \a most a service.
-    PromptsByReplica prompts(std::size_t most) const;
+    /// \returns parts of prompts that replicas are believed to keep, at most \a limit a service.
+    PromptsByReplica prompts(std::size_t limit) const;
 
     /// \returns the replicas that keep prompts in memory and may get requests.
     std::vector<ReplicaRecord> engines() const;
@@ -82,7 +82,7 @@
     ReplicaStatusUpdate ownStatusUpdate() const;
 
 private:
-    double coldLimitOf(const std::string &service) const;
+    double coldRateLimitOf(const std::string &service) const;
 
     const Clock &m_clock;
     RandomSource m_random;
--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -15,19 +15,19 @@
 /// How long one call waits for a change of the configuration, as a part of the time in which
 /// changes have to be in force. A proof is as old as the call when it returns, and twice that
 /// before the next one does.
-constexpr double WaitPart = 0.2;
+constexpr double WatchTimeoutFraction = 0.2;
 
 /// A proof that is older than this part of it has missed several answers of readers, and is read
 /// from the store: the rest is for the reading. It holds whatever the readers do.
-constexpr double ConfigOverduePart = 0.8;
+constexpr double ConfigOverdueFraction = 0.8;
 
 /// Between two reads of the replicas, as a part of the time in which a draining replica must be
 /// known: the others' asking takes another three tenths of it.
-constexpr double ReplicasPart = 0.25;
+constexpr double ReplicasReadFraction = 0.25;
 
 /// Part of the time in which a draining replica must be known, after which the list is read from
 /// the store: the rest is for the reading.
-constexpr double ReplicasOverduePart = 0.85;
+constexpr double ReplicasOverdueFraction = 0.85;
 constexpr Duration CheckInterval = 200ms;
 
 } // namespace
@@ -50,7 +50,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.config.proofAge()
-                    > scaled(m_options.settings.configApplyLimit, ConfigOverduePart),
+                    > scaled(m_options.settings.configApplyTimeout, ConfigOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -58,7 +58,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.replicas.age()
-                    > scaled(m_options.settings.replicaDrainLimit, ReplicasOverduePart),
+                    > scaled(m_options.settings.replicaDrainTimeout, ReplicasOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -84,11 +84,12 @@
     if (m_storeVersion == 0)
         m_options.store.readConfig(done);
     else
-        m_options.store.watchConfig(m_storeVersion,
-                                    m_options.isReader()
-                                            ? scaled(m_options.settings.configApplyLimit, WaitPart)
-                                            : Duration::zero(),
-                                    done);
+        m_options.store.watchConfig(
+                m_storeVersion,
+                m_options.isReader()
+                        ? scaled(m_options.settings.configApplyTimeout, WatchTimeoutFraction)
+                        : Duration::zero(),
+                done);
 }
 
 void StoreWatch::configRead(const Result<ConfigRead> &read, TimePoint began)
@@ -103,7 +104,7 @@
         return watchConfig();
     }
     // First: the proof of the configuration stands for them too.
-    takeEvacuations(it);
+    applyEvacuations(it);
     if (it.config)
         m_options.config.accept(it.config, began);
     else
@@ -115,9 +116,9 @@
         watchConfig();
 }
 
-void StoreWatch::takeEvacuations(const ConfigRead &read)
+void StoreWatch::applyEvacuations(const ConfigRead &read)
 {
-    if (!read.isWhole)
+    if (!read.isComplete)
         return m_options.evacuated.change(read.evacuations, read.storeVersion);
     EvacuatedDomains::State state{.storeVersion = read.storeVersion};
     for (const DomainEvacuation &it : read.evacuations)
@@ -148,8 +149,9 @@
     if (!m_options.isReader())
         return;
     // Spread, so that routers that started together do not read together.
-    const double spread = 0.9 + 0.2 * uniform(m_options.random);
-    m_replicasTimer.start(scaled(m_options.settings.replicaDrainLimit, ReplicasPart * spread));
+    const double jitter = 0.9 + 0.2 * uniform(m_options.random);
+    m_replicasTimer.start(
+            scaled(m_options.settings.replicaDrainTimeout, ReplicasReadFraction * jitter));
 }
 
 void StoreWatch::noteResult(StoreReadPlan &plan, const char *what, const Error *error)
@@ -171,7 +173,7 @@
         Log::warning("store_lost", {{"reading", what}, {"detail", error->detail}});
 }
 
-void StoreWatch::takeConfigText(const std::string &text, TimePoint readStartedAt)
+void StoreWatch::applyConfigText(const std::string &text, TimePoint readStartedAt)
 {
     const Result<RouteConfigPtr> config = m_options.store.decodeConfig(text);
     if (config)
--- a/src/Net/StoreWatch.h
+++ b/src/Net/StoreWatch.h
@@ -48,7 +48,7 @@
     Duration unansweredFor() const { return m_configPlan.unansweredFor(); }
 
     /// \brief Takes over what a peer read.
-    void takeConfigText(const std::string &text, TimePoint readStartedAt);
+    void applyConfigText(const std::string &text, TimePoint readStartedAt);
 
     /// \brief Notes that the store answered another router, or another call of this one, at \a at.
     void answeredElsewhere(TimePoint at);
@@ -56,7 +56,7 @@
 private:
     void watchConfig();
     void configRead(const Result<ConfigRead> &read, TimePoint began);
-    void takeEvacuations(const ConfigRead &read);
+    void applyEvacuations(const ConfigRead &read);
     void readReplicas();
     void replicasRead(const Result<ReplicaSnapshot> &read, TimePoint began);
     void check();
--- a/src/Net/StreamRelay.cpp
+++ b/src/Net/StreamRelay.cpp
@@ -29,8 +29,9 @@
 
 StreamRelay::StreamRelay(Options options)
     : m_options(std::move(options)), m_cursor(m_options.lastEventId),
-      m_retry(m_options.loop, [this] { resume(); }),
-      m_slow(m_options.loop, [this] { checkCaller(); }), m_grace(m_options.loop, [this] {
+      m_retryTimer(m_options.loop, [this] { resume(); }),
+      m_slowCallerTimer(m_options.loop, [this] { checkSlowCaller(); }),
+      m_graceTimer(m_options.loop, [this] {
           cancelUpstream();
           finish(Error{.reason = Reason::CallerGone, .verdict = Verdict::MayHaveRun});
       })
@@ -40,7 +41,7 @@
 {
     if (m_delivered)
         m_options.exchange->onDrained(nullptr);
-    m_options.buffered -= m_counted;
+    m_options.buffered -= m_countedBacklog;
 }
 
 void StreamRelay::data(std::string_view data)
@@ -50,20 +51,20 @@
     std::string out;
     const bool fits = m_reader.feed(data, [&](const SseEvent &it) {
         const StreamCursor::Disposition step =
-                m_gap ? StreamCursor::Disposition::Gap : m_cursor.take(it);
-        m_gap = step == StreamCursor::Disposition::Gap;
+                m_hasGap ? StreamCursor::Disposition::Gap : m_cursor.take(it);
+        m_hasGap = step == StreamCursor::Disposition::Gap;
         // Heartbeats of the router behind this one; its tokens may still have to come from another.
         const bool heartbeat = it.text.starts_with(':');
-        if (step == StreamCursor::Disposition::Deliver && !heartbeat && !m_whole) {
+        if (step == StreamCursor::Disposition::Deliver && !heartbeat && !m_complete) {
             out += it.text;
-            m_whole = it.isEnd;
+            m_complete = it.isEnd;
         }
     });
     if (!out.empty())
         deliver(out);
     if (!fits)
         finish(broken("an event of the stream is longer than the limit"));
-    else if (m_gap)
+    else if (m_hasGap)
         ended(broken("tokens are missing in the stream"));
 }
 
@@ -82,37 +83,37 @@
 void StreamRelay::limitBacklog()
 {
     countBacklog();
-    const bool tooMuch = m_counted > m_options.settings.maxStreamBuffer
+    const bool tooMuch = m_countedBacklog > m_options.settings.maxStreamBuffer
             || m_options.buffered > m_options.settings.maxBuffered;
     if (!tooMuch || !m_call)
         return;
     m_call->pause();
-    m_lastBacklog = m_counted;
-    m_slow.start(m_options.settings.limits.idleTimeout);
+    m_lastBacklog = m_countedBacklog;
+    m_slowCallerTimer.start(m_options.settings.limits.idleTimeout);
 }
 
 void StreamRelay::countBacklog()
 {
     const std::size_t n = m_options.exchange->backlog();
-    m_options.buffered += n - m_counted;
-    m_counted = n;
+    m_options.buffered += n - m_countedBacklog;
+    m_countedBacklog = n;
 }
 
 void StreamRelay::drained()
 {
     countBacklog();
-    m_slow.stop();
+    m_slowCallerTimer.stop();
     if (m_call)
         m_call->resume();
 }
 
 /// A caller that reads slowly is waited for; one that reads nothing holds a place on an engine.
-void StreamRelay::checkCaller()
+void StreamRelay::checkSlowCaller()
 {
     countBacklog();
-    if (m_counted < m_lastBacklog) {
-        m_lastBacklog = m_counted;
-        m_slow.start(m_options.settings.limits.idleTimeout);
+    if (m_countedBacklog < m_lastBacklog) {
+        m_lastBacklog = m_countedBacklog;
+        m_slowCallerTimer.start(m_options.settings.limits.idleTimeout);
         return;
     }
     cancelUpstream();
@@ -126,10 +127,10 @@
     const bool answered = !m_resuming;
     m_call.reset();
     m_reader.reset();
-    m_gap = false;
+    m_hasGap = false;
     if (m_callerLeft) {
         finish(Error{.reason = Reason::CallerGone, .verdict = Verdict::MayHaveRun});
-    } else if (m_whole) {
+    } else if (m_complete) {
         m_options.exchange->end();
         finish(outcome::success());
     } else if (answered) {
@@ -186,7 +187,7 @@
 void StreamRelay::resumeFailed(Error error)
 {
     if (++m_failures < MaxFailures) {
-        m_retry.start(RetryDelay);
+        m_retryTimer.start(RetryDelay);
         return;
     }
     // Whatever happened on this connection, the request itself was sent before.
@@ -199,8 +200,8 @@
     if (m_finished)
         return;
     m_callerLeft = true;
-    m_slow.stop();
-    m_retry.stop();
+    m_slowCallerTimer.stop();
+    m_retryTimer.stop();
     if (!m_call) {
         finish(Error{.reason = Reason::CallerGone, .verdict = Verdict::MayHaveRun});
         return;
@@ -208,7 +209,7 @@
     // The connection stays open: the engine closes it when another router takes the stream up, and
     // then it must not be cancelled.
     m_call->resume();
-    m_grace.start(m_options.progressTimeout);
+    m_graceTimer.start(m_options.progressTimeout);
 }
 
 void StreamRelay::cancelUpstream()
@@ -230,9 +231,9 @@
     if (std::exchange(m_finished, true))
         return;
     m_call.reset();
-    m_slow.stop();
-    m_retry.stop();
-    m_grace.stop();
+    m_slowCallerTimer.stop();
+    m_retryTimer.stop();
+    m_graceTimer.stop();
     const auto done = std::exchange(m_options.done, nullptr);
     done(std::move(result)); // May destroy this relay.
 }
--- a/src/Net/StreamRelay.h
+++ b/src/Net/StreamRelay.h
@@ -71,7 +71,7 @@
     void deliver(std::string_view text);
     void limitBacklog();
     void drained();
-    void checkCaller();
+    void checkSlowCaller();
     void countBacklog();
     void cancelUpstream();
     void finish(Result<void> result);
@@ -80,17 +80,17 @@
     HttpCallPtr m_call;
     SseReader m_reader;
     StreamCursor m_cursor;
-    Timer m_retry;
-    Timer m_slow;
-    Timer m_grace;
-    std::size_t m_counted = 0; ///< Of `buffered`, for this caller.
+    Timer m_retryTimer;
+    Timer m_slowCallerTimer;
+    Timer m_graceTimer;
+    std::size_t m_countedBacklog = 0; ///< Of `buffered`, for this caller.
     std::size_t m_lastBacklog = 0;
     int m_failures = 0; ///< New connections in a row that did not answer.
     int m_idleResumes = 0; ///< Resumes since the last token.
     bool m_resuming = false; ///< The connection at hand has not answered yet.
     bool m_delivered = false;
-    bool m_whole = false;
-    bool m_gap = false;
+    bool m_complete = false;
+    bool m_hasGap = false;
     bool m_callerLeft = false;
     bool m_finished = false;
 };
--- a/src/Net/TlsContext.cpp
+++ b/src/Net/TlsContext.cpp
@@ -88,10 +88,10 @@
     Contexts next;
     if (hasCertificate())
         next.server = makeServerContext(m_settings);
-    if (checksUpstreams())
+    if (verifiesUpstreams())
         next.client = makeClientContext(m_settings);
     ERR_clear_error();
-    if ((hasCertificate() && !next.server) || (checksUpstreams() && !next.client))
+    if ((hasCertificate() && !next.server) || (verifiesUpstreams() && !next.client))
         return Error{.reason = Reason::ConfigInvalid, .detail = "a TLS file changed while read"};
     for (SSL_CTX *it : {next.server.get(), next.client.get()}) {
         if (it) {
--- a/src/Net/TlsContext.h
+++ b/src/Net/TlsContext.h
@@ -44,7 +44,7 @@
     bool hasCertificate() const { return !m_settings.certificateFile.empty(); }
 
     /// \returns whether upstreams are spoken to over TLS.
-    bool checksUpstreams() const { return !m_settings.caFile.empty(); }
+    bool verifiesUpstreams() const { return !m_settings.caFile.empty(); }
 
     /// \returns when the listener's certificate expires; nothing without one.
     std::optional<WallTime> expiry() const { return m_expiry; }
--- a/src/Net/TlsTask.cpp
+++ b/src/Net/TlsTask.cpp
@@ -66,7 +66,7 @@
 
 bool TlsTask::start()
 {
-    if (!m_d->context.hasCertificate() && !m_d->context.checksUpstreams())
+    if (!m_d->context.hasCertificate() && !m_d->context.verifiesUpstreams())
         return true;
     if (!m_d->load())
         return false;
--- a/src/Net/WireCodec.h
+++ b/src/Net/WireCodec.h
@@ -25,7 +25,7 @@
 };
 
 /// \brief One sending of a request.
-struct Dispatch
+struct OutgoingRequest
 {
     const EntryRequest &request;
     const ReplicaRecord &replica;
@@ -39,7 +39,7 @@
 struct WireCodec
 {
     std::function<CallFacts(const HttpHeaders &)> decodeRequest;
-    std::function<HttpHeaders(const Dispatch &)> encodeRequest;
+    std::function<HttpHeaders(const OutgoingRequest &)> encodeRequest;
     std::function<AnswerFacts(const HttpHead &)> decodeAnswer;
     std::function<HttpHeaders(const HttpHead &)> passedAnswerHeaders; ///< For the caller.
     std::function<HttpHeaders(const EntryRequest &)> ownAnswerHeaders; ///< Of a refusal.
--- a/src/Net/internal/ConnectionCensus.cpp
+++ b/src/Net/internal/ConnectionLimiter.cpp
@@ -1,4 +1,4 @@
-#include "Net/internal/ConnectionCensus.h"
+#include "Net/internal/ConnectionLimiter.h"
 
 #include <optional>
 
@@ -10,7 +10,7 @@
 
 /// Shortest time between two looks at all sockets. 10,000 of them take about 2 ms, so a listener
 /// held at its limit spends at most 4% of a core on it.
-constexpr Duration LookInterval = std::chrono::milliseconds(50);
+constexpr Duration ScanInterval = std::chrono::milliseconds(50);
 
 /// Unique for each socket, so that a reused descriptor is not taken for the connection before.
 std::optional<std::uint64_t> cookieOf(int fd)
@@ -24,28 +24,28 @@
 
 } // namespace
 
-ConnectionCensus::ConnectionCensus(const Clock &clock, int limit)
+ConnectionLimiter::ConnectionLimiter(const Clock &clock, int limit)
     : m_clock(clock), m_limit(static_cast<std::size_t>(limit)),
-      m_lastLook(clock.now() - LookInterval)
+      m_lastScan(clock.now() - ScanInterval)
 { }
 
-bool ConnectionCensus::admit(int fd)
+bool ConnectionLimiter::admit(int fd)
 {
     const auto cookie = cookieOf(fd);
     if (!cookie)
         return true; // Closed again already.
     m_cookies.erase(fd); // Its descriptor was free, so that connection is gone.
-    if (m_cookies.size() >= m_limit && m_clock.now() - m_lastLook >= LookInterval)
-        forgetClosed();
+    if (m_cookies.size() >= m_limit && m_clock.now() - m_lastScan >= ScanInterval)
+        removeClosed();
     if (m_cookies.size() >= m_limit)
         return false;
     m_cookies.emplace(fd, *cookie);
     return true;
 }
 
-void ConnectionCensus::forgetClosed()
+void ConnectionLimiter::removeClosed()
 {
-    m_lastLook = m_clock.now();
+    m_lastScan = m_clock.now();
     std::erase_if(m_cookies, [](const auto &it) { return cookieOf(it.first) != it.second; });
 }
 
--- a/src/Net/internal/ConnectionCensus.h
+++ b/src/Net/internal/ConnectionLimiter.h
@@ -13,11 +13,11 @@
 /// remembers each socket by its descriptor and the kernel's cookie for it, and looks which of them
 /// are still there only when it seems full: a connection costs two system calls, and a flood of
 /// connections does not make each of them cost a look at all.
-class ConnectionCensus
+class ConnectionLimiter
 {
 public:
     /// \param limit connections open at a time.
-    ConnectionCensus(const Clock &clock, int limit);
+    ConnectionLimiter(const Clock &clock, int limit);
 
     /// \brief Takes in the newly accepted \a fd.
     /// \returns false where it is one too many; it is not counted then.
@@ -27,12 +27,12 @@
     std::size_t size() const { return m_cookies.size(); }
 
 private:
-    void forgetClosed();
+    void removeClosed();
 
     const Clock &m_clock;
     std::size_t m_limit;
     std::unordered_map<int, std::uint64_t> m_cookies; ///< By descriptor.
-    TimePoint m_lastLook;
+    TimePoint m_lastScan;
 };
 
 } // namespace catkinloft::internal
--- a/src/Net/internal/ForwardHeaders.cpp
+++ b/src/Net/internal/ForwardHeaders.cpp
@@ -1,6 +1,6 @@
 #include "Net/internal/ForwardHeaders.h"
 
-#include "Net/ConnectionHeaders.h"
+#include "Net/HopByHopHeaders.h"
 #include "Request/IdentifyFilter.h"
 
 #include <cstring>
@@ -18,9 +18,9 @@
 {
     HttpHeaders out;
     const HttpHeaders all = exchange.headers();
-    const ConnectionHeaders ofConnection(all);
+    const HopByHopHeaders hopByHop(all);
     for (const HttpHeader &it : all) {
-        if (!ofConnection.contains(it.first) && !sameHeader(it.first, "Host")
+        if (!hopByHop.contains(it.first) && !sameHeader(it.first, "Host")
             && !sameHeader(it.first, headers::RequestId)
             && !sameHeader(it.first, headers::Authorization)
             && !sameHeader(it.first, headers::Deadline) && !sameHeader(it.first, headers::Hops))
@@ -32,9 +32,9 @@
 HttpHeaders answerHeaders(const HttpHead &head)
 {
     HttpHeaders out;
-    const ConnectionHeaders ofConnection(head.headers);
+    const HopByHopHeaders hopByHop(head.headers);
     for (const HttpHeader &it : head.headers) {
-        if (!ofConnection.contains(it.first) && !sameHeader(it.first, headers::RequestId)
+        if (!hopByHop.contains(it.first) && !sameHeader(it.first, headers::RequestId)
             && strncasecmp(it.first.c_str(), OwnPrefix, strlen(OwnPrefix)) != 0)
             out.push_back(it);
     }
--- a/src/Net/internal/HttpConnection.cpp
+++ b/src/Net/internal/HttpConnection.cpp
@@ -122,7 +122,7 @@
 
 HttpConnection::~HttpConnection()
 {
-    mute();
+    detach();
     if (m_request)
         evhttp_cancel_request(m_request);
     evhttp_connection_set_closecb(m_connection, nullptr, nullptr);
@@ -132,12 +132,12 @@
 void HttpConnection::start(const HttpCall &call, HttpCallEvents events)
 {
     m_events = std::move(events);
-    m_listening = std::make_shared<bool>(true);
+    m_endGuard = std::make_shared<bool>(true);
     m_bytesSent = 0;
     m_bytesReceived = 0;
     m_delimited = false;
     m_headOnly = call.method == "HEAD";
-    m_takesUnframed = call.takesUnframed;
+    m_acceptsUnframed = call.acceptsUnframed;
     m_length.reset();
     m_errorCode = -1;
     evhttp_connection_set_max_body_size(m_connection, static_cast<ev_ssize_t>(call.maxBodyBytes));
@@ -184,10 +184,10 @@
     return m_reusable && !m_request && evbuffer_get_length(bufferevent_get_input(bev)) == 0;
 }
 
-void HttpConnection::mute()
+void HttpConnection::detach()
 {
     m_events = {};
-    m_listening.reset();
+    m_endGuard.reset();
 }
 
 void HttpConnection::setReading(bool enabled)
@@ -244,7 +244,7 @@
     }
     if (!m_delimited)
         m_reusable = false; // It ended with its connection.
-    if (!m_delimited && !m_takesUnframed) {
+    if (!m_delimited && !m_acceptsUnframed) {
         fail(Reason::UpstreamBroken, "the answer does not say where it ends");
     } else if (m_length && !m_headOnly && m_bytesReceived != *m_length) {
         m_reusable = false;
@@ -256,7 +256,8 @@
 
 std::string HttpConnection::handshakeFailure() const
 {
-    return m_bytesSent == 0 ? tlsRefusal(evhttp_connection_get_bufferevent(m_connection)) : "";
+    return m_bytesSent == 0 ? tlsHandshakeError(evhttp_connection_get_bufferevent(m_connection))
+                            : "";
 }
 
 void HttpConnection::fail(Reason reason, std::string detail)
@@ -270,11 +271,10 @@
     const auto onEnd = std::exchange(m_events.onEnd, nullptr);
     // The receiver may start the next request on this connection or give it away, so it is told
     // outside of evhttp's stack.
-    m_loop.post(
-            [onEnd, listening = std::weak_ptr(m_listening), result = std::move(result)]() mutable {
-                if (onEnd && !listening.expired())
-                    onEnd(std::move(result));
-            });
+    m_loop.post([onEnd, guard = std::weak_ptr(m_endGuard), result = std::move(result)]() mutable {
+        if (onEnd && !guard.expired())
+            onEnd(std::move(result));
+    });
 }
 
 } // namespace catkinloft::internal
--- a/src/Net/internal/HttpConnection.h
+++ b/src/Net/internal/HttpConnection.h
@@ -37,7 +37,7 @@
 
     /// \brief Reports nothing more of the request in progress. The connection can be freed then,
     /// though not from within one of its own callbacks.
-    void mute();
+    void detach();
 
     void setReading(bool enabled);
 
@@ -70,13 +70,13 @@
     std::size_t m_bytesReceived = 0;
     bool m_delimited = false; ///< The answer states its length or ends with a last chunk.
     bool m_headOnly = false;
-    bool m_takesUnframed = false;
+    bool m_acceptsUnframed = false;
     Duration m_keepAlive = std::chrono::hours(1);
     std::optional<std::size_t> m_length; ///< Of the answer's body, where it states one.
     int m_errorCode = -1;
     bool m_reusable = true;
     bool m_noSession = false; ///< Meant to be secure, but no session could be made.
-    std::shared_ptr<bool> m_listening; ///< Gone once nobody waits for the posted end.
+    std::shared_ptr<bool> m_endGuard; ///< Gone once nobody waits for the posted end.
 };
 
 } // namespace catkinloft::internal
--- a/src/Net/internal/HttpObjectStore.cpp
+++ b/src/Net/internal/HttpObjectStore.cpp
@@ -9,7 +9,7 @@
 
 Error storeError(int status)
 {
-    return {.reason = Reason::StoreDown,
+    return {.reason = Reason::StoreUnavailable,
             .detail = fmt::format("the object store answered {}", status)};
 }
 
--- a/src/Net/internal/HttpTableService.cpp
+++ b/src/Net/internal/HttpTableService.cpp
@@ -10,7 +10,7 @@
 
 Error storeError(int status, Verdict verdict)
 {
-    return {.reason = Reason::StoreDown,
+    return {.reason = Reason::StoreUnavailable,
             .verdict = verdict,
             .detail = fmt::format("the table service answered {}", status)};
 }
@@ -124,7 +124,7 @@
                         .timeout = m_settings.timeout},
                        [done = std::move(done)](Result<HttpAnswer> answer) {
                            if (!answer)
-                               answer.error().reason = Reason::StoreDown;
+                               answer.error().reason = Reason::StoreUnavailable;
                            done(std::move(answer));
                        });
     }
--- a/src/Net/internal/HttpVmList.cpp
+++ b/src/Net/internal/HttpVmList.cpp
@@ -43,7 +43,7 @@
     static Result<std::vector<VmEntry>> parse(const HttpAnswer &answer)
     {
         if (answer.head.status != 200)
-            return Error{.reason = Reason::StoreDown,
+            return Error{.reason = Reason::StoreUnavailable,
                          .detail = fmt::format("the VM list answered {}", answer.head.status)};
         const Result<Json::Value> root = parseJsonObject(answer.body);
         if (!root)
--- a/src/Net/internal/TlsStream.cpp
+++ b/src/Net/internal/TlsStream.cpp
@@ -38,7 +38,7 @@
     return newStream(base, tls.newClientSession(ip), BUFFEREVENT_SSL_CONNECTING);
 }
 
-std::string tlsRefusal(bufferevent *stream)
+std::string tlsHandshakeError(bufferevent *stream)
 {
     const SSL *session = bufferevent_openssl_get_ssl(stream);
     if (!session)
--- a/src/Net/internal/TlsStream.h
+++ b/src/Net/internal/TlsStream.h
@@ -19,6 +19,6 @@
 bufferevent *newClientStream(event_base *base, const TlsContext &tls, const std::string &ip);
 
 /// \returns why the handshake of \a stream failed; empty where it didn't or there is no TLS.
-std::string tlsRefusal(bufferevent *stream);
+std::string tlsHandshakeError(bufferevent *stream);
 
 } // namespace catkinloft::internal
--- a/src/Request/ClaimManager.cpp
+++ b/src/Request/ClaimManager.cpp
@@ -414,7 +414,7 @@
 
 Error ClaimManager::storeDown(std::string detail) const
 {
-    return {.reason = Reason::ClaimStoreDown,
+    return {.reason = Reason::ClaimStoreUnavailable,
             .detail = std::move(detail),
             .retryAfter = InProgressRetryAfter,
             .rule = "claims.before_sending",
--- a/src/Request/EntryFilters.cpp
+++ b/src/Request/EntryFilters.cpp
@@ -83,7 +83,7 @@
     if (!request.route->needsKey || isProofFresh())
         return outcome::success();
     const Duration age = m_options.proofAge();
-    return Error{.reason = Reason::StoreDown,
+    return Error{.reason = Reason::StoreUnavailable,
                  .detail = "can't verify that the API key is still valid: the store is unavailable",
                  .retryAfter = ProofRetryAfter,
                  .rule = "key_proof.limit",
--- a/src/Request/GroupCommitter.cpp
+++ b/src/Request/GroupCommitter.cpp
@@ -153,7 +153,7 @@
         commit(rest, round + 1);
     else
         fail(*rest,
-             {.reason = Reason::StoreDown,
+             {.reason = Reason::StoreUnavailable,
               .detail = "the write is unresolved after the last retry"});
 }
 
--- a/standin/DelayLine.h
+++ b/standin/DelayLine.h
@@ -14,7 +14,7 @@
 class DelayLine
 {
 public:
-    struct Piece
+    struct Chunk
     {
         TimePoint due = {}; ///< Never earlier than that of the preceding chunk.
         std::string bytes = {};
@@ -32,16 +32,16 @@
 
     /// \brief Removes the chunks that are due.
     /// \returns them in order.
-    std::vector<Piece> takeDue();
+    std::vector<Chunk> takeDue();
 
     /// \returns when the next chunk is due, or nothing if the queue is empty.
     std::optional<TimePoint> nextDue() const;
 
 private:
-    void push(Piece piece, Duration delay);
+    void push(Chunk piece, Duration delay);
 
     const Clock &m_clock;
-    std::deque<Piece> m_held;
+    std::deque<Chunk> m_queue;
 };
 
 } // namespace catkinloft::standin
--- a/standin/EngineStandin.cpp
+++ b/standin/EngineStandin.cpp
@@ -14,9 +14,9 @@
 constexpr std::string_view StreamPrefix = "/v1/streams/";
 constexpr std::string_view KvPrefix = "kv1:";
 
-int parseNumber(std::string_view text, int otherwise)
+int parseNumber(std::string_view text, int fallback)
 {
-    int out = otherwise;
+    int out = fallback;
     std::from_chars(text.data(), text.data() + text.size(), out);
     return out;
 }
@@ -98,7 +98,7 @@
         found->second->cancel();
         exchange->respond(204, {}, {});
     } else {
-        found->second->follow(exchange, parseNumber(exchange->header("Last-Event-ID"), -1));
+        found->second->resume(exchange, parseNumber(exchange->header("Last-Event-ID"), -1));
     }
 }
 
@@ -171,11 +171,11 @@
     it->complete();
     --m_running;
     m_runningTokens -= it->request().promptTokens + it->request().outputTokens;
-    forgetLater(it);
+    scheduleStreamExpiry(it);
     startNext();
 }
 
-void EngineStandin::forgetLater(const GenerationPtr &it)
+void EngineStandin::scheduleStreamExpiry(const GenerationPtr &it)
 {
     m_options.loop.after(StreamLifetime, [this, it] {
         const auto found = m_streams.find(it->request().id);
--- a/standin/EngineStandin.h
+++ b/standin/EngineStandin.h
@@ -49,7 +49,7 @@
     void startNext();
     void nextToken(const GenerationPtr &it);
     void finish(const GenerationPtr &it);
-    void forgetLater(const GenerationPtr &it);
+    void scheduleStreamExpiry(const GenerationPtr &it);
     Duration tokenTime() const;
     const Json::Value &load();
 
--- a/standin/FaultProxy.cpp
+++ b/standin/FaultProxy.cpp
@@ -62,7 +62,7 @@
     if (exchange->method() == "POST") {
         const Json::Value request = bodyObject(*exchange);
         set(request);
-        strikeOpenLinks(request);
+        applyToOpenLinks(request);
     }
     Json::Value out;
     out["open"] = static_cast<Json::UInt64>(m_links.size());
@@ -87,13 +87,13 @@
         m_faults.throttle = request["throttle"].asUInt();
 }
 
-void FaultProxy::strikeOpenLinks(const Json::Value &request)
+void FaultProxy::applyToOpenLinks(const Json::Value &request)
 {
     const bool silent = request["silent"].isBool() && request["silent"].asBool();
     const bool cut = request["cut"].isBool() && request["cut"].asBool();
     for (const auto &it : m_links) {
         if (silent)
-            it->goSilent();
+            it->blackhole();
         if (cut)
             it->cut();
     }
--- a/standin/FaultProxy.h
+++ b/standin/FaultProxy.h
@@ -35,7 +35,7 @@
 private:
     void accepted(int fd);
     void set(const Json::Value &request);
-    void strikeOpenLinks(const Json::Value &request);
+    void applyToOpenLinks(const Json::Value &request);
 
     Options m_options;
     LinkFaults m_faults;
--- a/standin/Generation.cpp
+++ b/standin/Generation.cpp
@@ -12,7 +12,7 @@
     : m_request(std::move(request)), m_exchange(std::move(exchange))
 { }
 
-void Generation::follow(HttpExchangePtr exchange, int after)
+void Generation::resume(HttpExchangePtr exchange, int after)
 {
     // Only one connection is served: the previous one may be dead without the engine noticing.
     m_exchange->abort();
@@ -59,11 +59,11 @@
     } else {
         m_exchange->respond(200,
                             {{"Content-Type", "application/json"}, {"X-Request-Id", m_request.id}},
-                            wholeAnswer());
+                            answerBody());
     }
 }
 
-std::string Generation::wholeAnswer() const
+std::string Generation::answerBody() const
 {
     std::string text;
     for (int i = 0; i < m_produced; ++i)
--- a/standin/Generation.h
+++ b/standin/Generation.h
@@ -19,7 +19,7 @@
 
     /// \brief Sends the tokens that follow number \a after to \a exchange, and closes the previous
     /// connection.
-    void follow(HttpExchangePtr exchange, int after);
+    void resume(HttpExchangePtr exchange, int after);
 
     /// \brief Generates one token.
     /// \returns false if all tokens were generated or the generation was cancelled.
@@ -34,7 +34,7 @@
 
 private:
     void sendPending();
-    std::string wholeAnswer() const;
+    std::string answerBody() const;
 
     EngineRequest m_request;
     HttpExchangePtr m_exchange;
--- a/standin/PlatformStandin.cpp
+++ b/standin/PlatformStandin.cpp
@@ -46,7 +46,7 @@
         exchange->respond(429, {{"Retry-After", "1"}}, {});
         return;
     }
-    if (!hold(exchange))
+    if (!defer(exchange))
         deliver(exchange, answer(*exchange));
 }
 
--- a/standin/PlatformStandin.h
+++ b/standin/PlatformStandin.h
@@ -45,7 +45,7 @@
 
     /// \brief Keeps an exchange that has to wait, and passes its answer to deliver() later.
     /// \returns false if the exchange is to be answered at once.
-    virtual bool hold(const HttpExchangePtr &) { return false; }
+    virtual bool defer(const HttpExchangePtr &) { return false; }
 
     /// \brief Sends \a answer, or delays or drops it according to the current mode.
     void deliver(const HttpExchangePtr &exchange, const Answer &answer);
--- a/standin/PrefixCache.cpp
+++ b/standin/PrefixCache.cpp
@@ -23,9 +23,9 @@
     }
     m_entries.emplace_front(chat, tokens);
     m_tokens += tokens;
-    note(chat, tokens, true);
+    recordEvent(chat, tokens, true);
     while (m_tokens > m_options.capacity && m_entries.size() > 1) {
-        note(m_entries.back().first, m_entries.back().second, false);
+        recordEvent(m_entries.back().first, m_entries.back().second, false);
         m_tokens -= m_entries.back().second;
         m_entries.pop_back();
     }
@@ -41,7 +41,7 @@
     return 0;
 }
 
-void PrefixCache::note(const std::string &chat, double tokens, bool stored)
+void PrefixCache::recordEvent(const std::string &chat, double tokens, bool stored)
 {
     ++m_lastSeq;
     if (m_options.gapEvery > 0 && m_lastSeq % static_cast<std::uint64_t>(m_options.gapEvery) == 0)
--- a/standin/PrefixCache.h
+++ b/standin/PrefixCache.h
@@ -47,7 +47,7 @@
         bool stored;
     };
 
-    void note(const std::string &chat, double tokens, bool stored);
+    void recordEvent(const std::string &chat, double tokens, bool stored);
 
     Options m_options;
     std::list<std::pair<std::string, double>> m_entries; ///< Most recently used first.
