--- a/standin/Standin.h
+++ b/standin/Standin.h
@@ -19,7 +19,7 @@
     virtual void handle(const HttpExchangePtr &exchange) = 0;
 };
 
-/// Body of a request that makes a replica crash, as an input that triggers a fault in it would.
+/// Body of a request that makes a replica crash. Stands for an input that triggers a fault in it.
 inline constexpr std::string_view FatalBody = "fatal";
 
 /// \returns the JSON object in the body, or an empty one if the body is not a JSON object.
