--- a/test/integration/ControlTest.cpp
+++ b/test/integration/ControlTest.cpp
@@ -32,7 +32,7 @@
         fleet = std::make_unique<Fleet>(
                 Fleet::Options{.deployment = small, .binaries = CATKINLOFT_BINARIES});
         fleet->start();
-        REQUIRE(Fleet::waitFor([&] { return everyoneSees(Routers, {}); }));
+        REQUIRE(Fleet::waitFor([&] { return allRoutersSee(Routers, {}); }));
     }
 
     HttpHeaders operatorHeaders() const
@@ -53,7 +53,7 @@
     }
 
     /// \returns whether every router but \a without lists \a n live ones.
-    bool everyoneSees(std::size_t n, const std::vector<std::size_t> &without) const
+    bool allRoutersSee(std::size_t n, const std::vector<std::size_t> &without) const
     {
         for (std::size_t i = 0; i < Routers; ++i) {
             if (std::find(without.begin(), without.end(), i) != without.end())
@@ -68,7 +68,8 @@
         return true;
     }
 
-    bool everyoneHolds(std::uint64_t revision, const std::vector<std::size_t> &without = {}) const
+    bool allRoutersHoldRevision(std::uint64_t revision,
+                                const std::vector<std::size_t> &without = {}) const
     {
         for (std::size_t i = 0; i < Routers; ++i) {
             if (std::find(without.begin(), without.end(), i) == without.end()
@@ -107,7 +108,7 @@
     }
 
     /// Each process's own log may only show rising revisions.
-    void checkLogsRise() const
+    void checkRevisionsIncrease() const
     {
         for (std::size_t i = 0; i < Routers; ++i) {
             std::istringstream lines(fleet->routerLog(i));
@@ -138,11 +139,11 @@
     REQUIRE(accepted);
     CHECK(accepted.value().head.status == 200);
     CHECK(accepted.value().body.find("\"state\":\"accepted\"") != std::string::npos);
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(2); }, 4s));
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(2); }, 4s));
     fleet->router(7).signal(SIGKILL);
     fleet->router(7).wait();
     fleet->startRouter(7);
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(2); }));
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(2); }));
     const Result<HttpAnswer> refused = Fleet::fetch(change(0, 2, 11));
     REQUIRE(refused);
     CHECK(refused.value().head.status == 503);
@@ -152,8 +153,8 @@
         const Result<HttpAnswer> again = Fleet::fetch(change(0, 2, 11));
         return again && again.value().head.status == 200;
     }));
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(3); }, 4s));
-    checkLogsRise();
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(3); }, 4s));
+    checkRevisionsIncrease();
 }
 
 TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_hundredRacesOfOperators_haveOneWinnerEach")
@@ -173,8 +174,8 @@
         for (std::thread &it : operators)
             it.join();
         CAPTURE(base);
-        const std::string told = fmt::format("{} {} {}", bodies[0], bodies[1], bodies[2]);
-        CAPTURE(told);
+        const std::string responses = fmt::format("{} {} {}", bodies[0], bodies[1], bodies[2]);
+        CAPTURE(responses);
         CHECK(std::count(statuses.begin(), statuses.end(), 200) == 1);
         CHECK(std::count(statuses.begin(), statuses.end(), 409) == 2);
         for (std::size_t i = 0; i < statuses.size(); ++i) {
@@ -182,8 +183,8 @@
                 CHECK(bodies[i].find(fmt::format("but {} of desk", base + 1)) != std::string::npos);
         }
     }
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(101); }, 4s));
-    checkLogsRise();
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(101); }, 4s));
+    checkRevisionsIncrease();
 }
 
 TEST_CASE_FIXTURE(NineRouterProcessesFixture,
@@ -191,26 +192,26 @@
 {
     fleet->router(3).signal(SIGKILL);
     fleet->router(3).wait();
-    CHECK(Fleet::waitFor([&] { return everyoneSees(8, {3}); }));
+    CHECK(Fleet::waitFor([&] { return allRoutersSee(8, {3}); }));
     fleet->router(4).signal(SIGSTOP);
-    CHECK(Fleet::waitFor([&] { return everyoneSees(7, {3, 4}); }));
+    CHECK(Fleet::waitFor([&] { return allRoutersSee(7, {3, 4}); }));
     REQUIRE(Fleet::fetch(change(0, 1, 10)));
     fleet->router(4).signal(SIGCONT);
-    CHECK(Fleet::waitFor([&] { return everyoneSees(8, {3}) && everyoneHolds(2, {3}); }));
+    CHECK(Fleet::waitFor([&] { return allRoutersSee(8, {3}) && allRoutersHoldRevision(2, {3}); }));
     fleet->router(5).signal(SIGTERM);
-    CHECK(Fleet::waitFor([&] { return everyoneSees(7, {3, 5}); }, 4s));
+    CHECK(Fleet::waitFor([&] { return allRoutersSee(7, {3, 5}); }, 4s));
     fleet->router(5).wait();
     fleet->startRouter(3);
     fleet->startRouter(5);
-    CHECK(Fleet::waitFor([&] { return everyoneSees(9, {}) && everyoneHolds(2); }));
-    checkLogsRise();
+    CHECK(Fleet::waitFor([&] { return allRoutersSee(9, {}) && allRoutersHoldRevision(2); }));
+    checkRevisionsIncrease();
 }
 
 TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_wrongVmList_changesNothing")
 {
     fleet->publishVms({1, 2, 3, 4, 5, 6, 7, 8});
     std::this_thread::sleep_for(3s); // The list is read each second; nothing else is waited for.
-    CHECK(everyoneSees(9, {}));
+    CHECK(allRoutersSee(9, {}));
     const Json::Value where = get(0, "/v1/where?workspace=a&chat=b");
     for (std::size_t i = 1; i < Routers; ++i)
         CHECK(get(i, "/v1/where?workspace=a&chat=b")["router"] == where["router"]);
@@ -226,7 +227,7 @@
     REQUIRE(settled);
     CHECK(settled.value().head.status == 200);
     CHECK(settled.value().body.find("\"revision\":2") != std::string::npos);
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(2); }, 4s));
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(2); }, 4s));
     CHECK(get(3, "/v1/history")["changes"].size() == 2);
 }
 
@@ -247,7 +248,7 @@
     CHECK(run({"apply", file, "1"}) == 1);
     CHECK(run({"rollback", "1"}) == 0);
     CHECK(run({"rollback", "77"}) == 1);
-    CHECK(Fleet::waitFor([&] { return everyoneHolds(3); }, 4s));
+    CHECK(Fleet::waitFor([&] { return allRoutersHoldRevision(3); }, 4s));
     CHECK(run({"history"}) == 0);
     CHECK(get(0, "/v1/history")["changes"].size() == 3);
 }
--- a/test/integration/EntryTest.cpp
+++ b/test/integration/EntryTest.cpp
@@ -86,7 +86,7 @@
     { }
 
     /// Sends calls and streams to every router. \returns the ids of those that were served.
-    std::set<std::string> sendToAll()
+    std::set<std::string> sendToAllRouters()
     {
         std::set<std::string> out;
         for (std::size_t i = 0; i < 36; ++i) {
@@ -99,7 +99,7 @@
     }
 
     /// In which an evacuation has to be in force.
-    static constexpr auto EvacuationLimit = 1500ms;
+    static constexpr auto EvacuationDeadline = 1500ms;
 };
 
 /// Two replicas of each service, and more requests than a cold one bears.
@@ -135,7 +135,7 @@
     }
 
     /// \returns the most requests that reached replica \a id within one second, from \a fromMs on.
-    std::size_t mostInASecond(const std::string &id, std::int64_t fromMs) const
+    std::size_t maxRequestsPerSecond(const std::string &id, std::int64_t fromMs) const
     {
         std::vector<std::int64_t> times;
         for (const Json::Value &it : fleet.arrivals()) {
@@ -153,7 +153,7 @@
     }
 
     /// Until all routers know a new entry.
-    static constexpr auto EntryKnown = 1500ms;
+    static constexpr auto EntryPropagationTime = 1500ms;
 
     static std::int64_t nowMs()
     {
@@ -184,7 +184,7 @@
     }
 
     /// \returns when runs of the fatal request began, in milliseconds.
-    std::vector<std::int64_t> fatalRuns() const
+    std::vector<std::int64_t> fatalExecutionTimes() const
     {
         std::vector<std::int64_t> out;
         for (const Json::Value &it : fleet.executions()) {
@@ -205,7 +205,7 @@
 TEST_CASE_FIXTURE(FatalRequestFixture, "entry_replicasEndUnderARequest_everyRouterHoldsItBack")
 {
     constexpr std::int64_t StableWindow = 3000;
-    constexpr std::ptrdiff_t AllowedLater = 3;
+    constexpr std::ptrdiff_t MaxLaterRuns = 3;
     int good = 0;
     int sent = 0;
     const auto until = std::chrono::steady_clock::now() + 9s;
@@ -218,11 +218,11 @@
         std::this_thread::sleep_for(200ms);
         fleet.restartExitedReplicas(2s);
     }
-    const std::vector<std::int64_t> runs = fatalRuns();
+    const std::vector<std::int64_t> runs = fatalExecutionTimes();
     REQUIRE(runs.size() >= 3);
     CHECK(std::count_if(runs.begin(), runs.end(),
                         [&](std::int64_t it) { return it > runs[2] + StableWindow; })
-          <= AllowedLater);
+          <= MaxLaterRuns);
     CHECK(good >= sent * 9 / 10);
     for (std::size_t i = 0; i < fleet.routerCount(); ++i)
         CHECK(send(i, "fatal") == 503);
@@ -232,22 +232,24 @@
 // with it the replica's entry, is out of reach.
 TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaSaysThatItLeavesWhileTheStoreIsAway_getsNothing")
 {
-    constexpr auto DrainLimit = 2s;
+    constexpr auto DrainDeadline = 2s;
     fleet.setReplicaFaults(0, R"({"leaving":1})");
     fleet.setStoreMode("down");
-    std::optional<std::chrono::steady_clock::time_point> toldAt; ///< The first of all routers.
+    std::optional<std::chrono::steady_clock::time_point>
+            leavingReportedAt; ///< The first of all routers.
     std::set<std::string> late;
     const auto until = std::chrono::steady_clock::now() + 4500ms;
     for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
         const std::size_t router = i % fleet.routerCount();
         const auto sentAt = std::chrono::steady_clock::now();
         const Result<HttpAnswer> answer = send(router, "/safe/a");
-        if (toldAt && sentAt > *toldAt + DrainLimit)
+        if (leavingReportedAt && sentAt > *leavingReportedAt + DrainDeadline)
             late.insert(lastId);
-        if (!toldAt && answer && answer.value().body.find(fleet.replicaId(0)) != std::string::npos)
-            toldAt = std::chrono::steady_clock::now();
+        if (!leavingReportedAt && answer
+            && answer.value().body.find(fleet.replicaId(0)) != std::string::npos)
+            leavingReportedAt = std::chrono::steady_clock::now();
     }
-    CHECK(toldAt);
+    CHECK(leavingReportedAt);
     CHECK(late.size() > 20);
     for (const Json::Value &it : fleet.executions()) {
         if (it["replica"].asString() == fleet.replicaId(0))
@@ -259,19 +261,19 @@
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_getsNothingUntilItIsTakenBack")
 {
     fleet.evacuate("hall-1");
-    std::this_thread::sleep_for(EvacuationLimit);
-    const std::set<std::string> served = sendToAll();
+    std::this_thread::sleep_for(EvacuationDeadline);
+    const std::set<std::string> served = sendToAllRouters();
     CHECK(served.size() == 108);
     CHECK(executionsIn("hall-1", served) == 0);
     fleet.router(1).signal(SIGKILL);
     fleet.router(1).wait();
     fleet.startRouter(1);
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
-    const std::set<std::string> servedAfterAStart = sendToAll();
-    CHECK(servedAfterAStart.size() == 108);
-    CHECK(executionsIn("hall-1", servedAfterAStart) == 0);
+    const std::set<std::string> servedAfterRestart = sendToAllRouters();
+    CHECK(servedAfterRestart.size() == 108);
+    CHECK(executionsIn("hall-1", servedAfterRestart) == 0);
     fleet.endEvacuation("hall-1");
-    CHECK(Fleet::waitFor([&] { return executionsIn("hall-1", sendToAll()) > 0; }));
+    CHECK(Fleet::waitFor([&] { return executionsIn("hall-1", sendToAllRouters()) > 0; }));
 }
 
 // Guards against a router that has slept through the word and sends before it has heard of it.
@@ -295,7 +297,7 @@
 {
     fleet.evacuate("hall-0");
     fleet.evacuate("hall-1");
-    std::this_thread::sleep_for(EvacuationLimit);
+    std::this_thread::sleep_for(EvacuationDeadline);
     for (std::size_t i = 0; i < fleet.routerCount(); ++i) {
         CHECK(status(i, "/safe/a") == 503);
         CHECK(executionsOf(lastId) == 0);
@@ -309,10 +311,10 @@
 {
     fleet.setReplicaFaults(0, R"({"cold_per_s":20})");
     fleet.registerReplica(0, "ready", 8s);
-    std::this_thread::sleep_for(EntryKnown);
+    std::this_thread::sleep_for(EntryPropagationTime);
     const std::int64_t from = nowMs();
     const auto [served, failed] = callFor(4s);
-    const std::size_t most = mostInASecond(fleet.replicaId(0), from);
+    const std::size_t most = maxRequestsPerSecond(fleet.replicaId(0), from);
     CHECK(most > 0);
     CHECK(most <= EntryFleet::ColdPerSecond);
     CHECK(fleet.replica(0).isRunning());
@@ -327,13 +329,13 @@
         fleet.setReplicaFaults(i, R"({"cold_per_s":20})");
         fleet.registerReplica(i, "ready", 8s);
     }
-    std::this_thread::sleep_for(EntryKnown);
+    std::this_thread::sleep_for(EntryPropagationTime);
     const std::int64_t from = nowMs();
     const auto [served, failed] = callFor(3s);
     CHECK(served >= 20);
     CHECK(failed > 0);
     for (const std::size_t i : {0U, 1U}) {
-        CHECK(mostInASecond(fleet.replicaId(i), from) <= EntryFleet::ColdPerSecond);
+        CHECK(maxRequestsPerSecond(fleet.replicaId(i), from) <= EntryFleet::ColdPerSecond);
         CHECK(fleet.replica(i).isRunning());
     }
 }
@@ -358,7 +360,7 @@
 
 TEST_CASE_FIXTURE(EntryFleetFixture, "entry_directory_namesAllRoutersUntilOneStops")
 {
-    const auto named = [&] {
+    const auto namedRouters = [&] {
         const Result<HttpAnswer> answer = Fleet::fetch(
                 {.address = fleet.directoryAddress(0), .target = "/v1/resolve?name=x&zone=hall"});
         std::size_t n = 0;
@@ -366,9 +368,9 @@
             n += answer.value().body.find(fleet.callerAddress(i)) != std::string::npos ? 1 : 0;
         return n;
     };
-    CHECK(Fleet::waitFor([&] { return named() == 3; }));
+    CHECK(Fleet::waitFor([&] { return namedRouters() == 3; }));
     fleet.router(2).signal(SIGTERM);
-    CHECK(Fleet::waitFor([&] { return named() == 2; }));
+    CHECK(Fleet::waitFor([&] { return namedRouters() == 2; }));
     CHECK(fleet.router(2).wait() == 0);
 }
 
@@ -498,7 +500,7 @@
 {
     std::vector<std::thread> callers;
     callers.reserve(8);
-    std::atomic<int> whole = 0;
+    std::atomic<int> complete = 0;
     for (int i = 0; i < 8; ++i) {
         callers.emplace_back([&, i] {
             const Result<HttpAnswer> answer = Fleet::fetch(
@@ -509,14 +511,14 @@
                                  {"Authorization", std::string("Bearer ") + EntryFleet::Key}},
                      .timeout = 8s});
             if (answer && answer.value().body.find("id: 150\n") != std::string::npos)
-                ++whole;
+                ++complete;
         });
     }
     std::this_thread::sleep_for(300ms);
     fleet.router(0).signal(SIGTERM);
     for (std::thread &it : callers)
         it.join();
-    CHECK(whole.load() == 8);
+    CHECK(complete.load() == 8);
     CHECK(fleet.router(0).wait() == 0);
 }
 
--- a/test/integration/FaultTable.cpp
+++ b/test/integration/FaultTable.cpp
@@ -19,7 +19,7 @@
     fleet.replica(i).signal(number);
 }
 
-void strikeUpstreams(Fleet &fleet, std::size_t i, const char *faults)
+void setUpstreamFaults(Fleet &fleet, std::size_t i, const char *faults)
 {
     fleet.setProxyFaults(fleet.engineAddress(i), faults);
     fleet.setProxyFaults(fleet.replicaAddress(i), faults);
@@ -37,25 +37,25 @@
 Fault storeFault(std::string_view name, std::string mode, std::string more = {})
 {
     return {.name = name,
-            .place = "store",
+            .location = "store",
             .begin = [=](Fleet &it, LoadDriver &) { it.setPlatformMode("table", mode, more); },
             .end = [](Fleet &it) { it.setPlatformMode("table", "up"); }};
 }
 
-std::vector<Fault> makeTable()
+std::vector<Fault> makeFaultTable()
 {
     const auto nothing = [](Fleet &) {};
     return {
             {.name = "router killed",
-             .place = "router 1",
+             .location = "router 1",
              .begin = [](Fleet &it, LoadDriver &) { it.router(1).signal(SIGKILL); },
              .end = [](Fleet &it) { it.startRouter(1); }},
             {.name = "router paused",
-             .place = "router 2",
+             .location = "router 2",
              .begin = [](Fleet &it, LoadDriver &) { it.router(2).signal(SIGSTOP); },
              .end = [](Fleet &it) { it.router(2).signal(SIGCONT); }},
             {.name = "upstream killed",
-             .place = "upstream 0",
+             .location = "upstream 0",
              .begin = [](Fleet &it, LoadDriver &) { signalUpstreams(it, 0, SIGKILL); },
              .end =
                      [](Fleet &it) {
@@ -63,32 +63,33 @@
                          it.startReplica(0);
                      }},
             {.name = "upstream paused",
-             .place = "upstream 1",
+             .location = "upstream 1",
              .begin = [](Fleet &it, LoadDriver &) { signalUpstreams(it, 1, SIGSTOP); },
              .end = [](Fleet &it) { signalUpstreams(it, 1, SIGCONT); }},
             {.name = "connections silent",
-             .place = "path",
-             .begin = [](Fleet &it, LoadDriver &) { strikeUpstreams(it, 1, R"({"silent":true})"); },
+             .location = "path",
+             .begin = [](Fleet &it,
+                         LoadDriver &) { setUpstreamFaults(it, 1, R"({"silent":true})"); },
              .end = nothing},
             {.name = "answers lost",
-             .place = "path 0",
+             .location = "path 0",
              .begin = [](Fleet &it,
-                         LoadDriver &) { strikeUpstreams(it, 0, R"({"lose_answers":2})"); },
-             .end = [](Fleet &it) { strikeUpstreams(it, 0, R"({"clear":true})"); }},
+                         LoadDriver &) { setUpstreamFaults(it, 0, R"({"lose_answers":2})"); },
+             .end = [](Fleet &it) { setUpstreamFaults(it, 0, R"({"clear":true})"); }},
             storeFault("store down", "down"),
             storeFault("store slow", "slow", R"(,"delay_ms":600)"),
             storeFault("store answers lost", "lose_answers"),
             {.name = "VM list wrong",
-             .place = "vms",
+             .location = "vms",
              .begin = [](Fleet &it, LoadDriver &) { it.publishVms({0}); },
              .end = [](Fleet &it) { it.publishVms(); }},
             {.name = "workspace surge",
-             .place = "load",
+             .location = "load",
              .begin = [](Fleet &,
                          LoadDriver &driver) { driver.surge(Duration::zero(), SurgeCallers); },
              .end = nothing},
             {.name = "changes race",
-             .place = "config",
+             .location = "config",
              .begin = [](Fleet &it, LoadDriver &) { raceChanges(it); },
              .end = nothing},
     };
@@ -98,7 +99,7 @@
 
 std::span<const Fault> faultTable()
 {
-    static const std::vector<Fault> table = makeTable();
+    static const std::vector<Fault> table = makeFaultTable();
     return table;
 }
 
--- a/test/integration/FaultTable.h
+++ b/test/integration/FaultTable.h
@@ -12,7 +12,7 @@
 struct Fault
 {
     std::string_view name;
-    std::string_view place; ///< Two faults of one place can't coincide.
+    std::string_view location; ///< Two faults of one place can't coincide.
     std::function<void(standin::Fleet &, standin::LoadDriver &)> begin;
     std::function<void(standin::Fleet &)> end;
 };
--- a/test/integration/FaultTest.cpp
+++ b/test/integration/FaultTest.cpp
@@ -89,7 +89,7 @@
         for (std::size_t i = 0; i < table.size(); ++i) {
             cases.push_back({&table[i], nullptr});
             for (std::size_t j = i + 1; j < table.size(); ++j) {
-                if (table[i].place != table[j].place)
+                if (table[i].location != table[j].location)
                     cases.push_back({&table[i], &table[j]});
             }
         }
--- a/test/integration/OrderTest.cpp
+++ b/test/integration/OrderTest.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// Three engines that check fencing numbers; the inventory believes it of the first two only.
-struct OrderedFleetFixture
+struct EngineOrderFixture
 {
-    OrderedFleetFixture()
+    EngineOrderFixture()
     {
         standin::Deployment small = standin::deploymentNamed("sofiyska");
         small.engines = 3;
@@ -31,7 +31,7 @@
     }
 
     /// \returns the fleet's inventory with \a version wanted of every engine.
-    std::string wanting(const std::string &version) const
+    std::string inventoryWithVersion(const std::string &version) const
     {
         std::string out = fleet->inventory();
         for (int i = 0; i < 3; ++i) {
@@ -54,7 +54,7 @@
         return out;
     }
 
-    bool reaches(std::size_t engine, const std::string &version, Duration limit) const
+    bool waitForVersion(std::size_t engine, const std::string &version, Duration limit) const
     {
         return Fleet::waitFor(
                 [&] {
@@ -82,19 +82,19 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(OrderedFleetFixture, "orders_driftThenHolderPausedPastItsLease_comeOutRight")
+TEST_CASE_FIXTURE(EngineOrderFixture, "orders_driftThenHolderPausedPastItsLease_comeOutRight")
 {
-    REQUIRE(fleet->apply(wanting("v1")) == 200);
-    CHECK(reaches(0, "v1", 60s));
-    CHECK(reaches(1, "v1", 60s));
-    CHECK(reaches(2, "", 60s)); // Ignores numbers and serves: only the adapter is given.
+    REQUIRE(fleet->apply(inventoryWithVersion("v1")) == 200);
+    CHECK(waitForVersion(0, "v1", 60s));
+    CHECK(waitForVersion(1, "v1", 60s));
+    CHECK(waitForVersion(2, "", 60s)); // Ignores numbers and serves: only the adapter is given.
 
     const std::size_t holder = holderOf("engine-0");
     REQUIRE(holder < 3);
     const auto fence = state(0)["fence"].asUInt64();
     fleet->router(holder).signal(SIGSTOP);
-    REQUIRE(fleet->apply(wanting("v2"), (holder + 1) % 3) == 200);
-    CHECK(reaches(0, "v2", 150s));
+    REQUIRE(fleet->apply(inventoryWithVersion("v2"), (holder + 1) % 3) == 200);
+    CHECK(waitForVersion(0, "v2", 150s));
     CHECK(state(0)["fence"].asUInt64() > fence);
     fleet->router(holder).signal(SIGCONT);
     CHECK(Fleet::waitFor([&] {
--- a/test/integration/RequestLifeTest.cpp
+++ b/test/integration/RequestLifeTest.cpp
@@ -149,19 +149,19 @@
         return answer ? answer.value().body : "";
     }
 
-    struct Part
+    struct StreamResult
     {
         HttpHead head;
         std::string body;
-        bool whole = false;
+        bool complete = false;
     };
 
-    /// Sends \a call; \a atToken runs once when some tokens have come, and may end it early.
-    static Part follow(HttpCall call, const std::function<bool()> &atToken)
+    /// Sends \a call; \a onToken runs once when some tokens have come, and may end it early.
+    static StreamResult readStream(HttpCall call, const std::function<bool()> &onToken)
     {
         EventLoop loop;
         HttpClient client(loop);
-        Part part;
+        StreamResult part;
         HttpCallPtr handle;
         bool reached = false;
         handle = client.send(std::move(call),
@@ -172,12 +172,12 @@
                                           if (reached || part.body.find("t5 ") == part.body.npos)
                                               return;
                                           reached = true;
-                                          if (!atToken())
+                                          if (!onToken())
                                               loop.stop();
                                       },
                               .onEnd =
                                       [&](const Result<void> &result) {
-                                          part.whole = result.has_value();
+                                          part.complete = result.has_value();
                                           loop.stop();
                                       }});
         loop.run();
@@ -196,11 +196,11 @@
 TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_connectionsGoSilent_isWholeAndRunsOnce")
 {
     const std::string engine = fleet->engineAddress(0);
-    const Part part = follow(chat(true), [&] {
+    const StreamResult part = readStream(chat(true), [&] {
         fault(engine, R"({"silent":true})");
         return true;
     });
-    CHECK(part.whole);
+    CHECK(part.complete);
     CHECK(textOf(part.body) == tokens(Tokens));
     CHECK(part.body.ends_with("data: [DONE]\n\n"));
     CHECK(executions(engine) == 1);
@@ -212,7 +212,7 @@
 
 TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerReconnectsElsewhere_getsTheRestOnce")
 {
-    const Part first = follow(chat(true), [] { return false; });
+    const StreamResult first = readStream(chat(true), [] { return false; });
     const std::string token(first.head.header("X-Catkinloft-Resume"));
     CAPTURE(first.head.status);
     CAPTURE(first.body);
@@ -225,9 +225,9 @@
                              {"X-Catkinloft-Resume", token},
                              {"Last-Event-ID", "2"}}});
     };
-    const auto stranger = rest(1);
-    REQUIRE(stranger);
-    CHECK(stranger.value().head.status == 404);
+    const auto otherWorkspace = rest(1);
+    REQUIRE(otherWorkspace);
+    CHECK(otherWorkspace.value().head.status == 404);
     const auto second = rest(0);
     REQUIRE(second);
     CHECK(second.value().head.status == 200);
@@ -237,7 +237,7 @@
 
 TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerLeavesForGood_isCancelledAtTheEngine")
 {
-    follow(chat(true), [] { return false; });
+    readStream(chat(true), [] { return false; });
     const auto cancelled = [this] {
         std::string all;
         for (std::size_t i = 0; i < 3; ++i)
@@ -315,7 +315,7 @@
 
 TEST_CASE_FIXTURE(FaultyFleetFixture, "router_plannedStop_cutsOffNothing")
 {
-    const Part part = follow(chat(true, 1), [&] {
+    const StreamResult part = readStream(chat(true, 1), [&] {
         fleet->router(1).signal(SIGTERM);
         Fleet::waitFor([&] {
             const auto ready =
@@ -329,7 +329,7 @@
         CHECK(late.value().head.header("Connection") == "close");
         return true;
     });
-    REQUIRE(part.whole);
+    REQUIRE(part.complete);
     REQUIRE(textOf(part.body) == tokens(Tokens));
     CHECK(fleet->router(1).wait() == 0);
     CHECK(fleet->routerLog(1).find("\"cut_off\":0") != std::string::npos);
--- a/test/integration/SoakCheckTest.cpp
+++ b/test/integration/SoakCheckTest.cpp
@@ -17,8 +17,8 @@
     {
         answer("s1", "once", "s1 answered by i-1");
         answer("s2", "safe", "s2 answered by i-1");
-        ran("s1", "i-1");
-        ran("s2", "i-1");
+        addExecution("s1", "i-1");
+        addExecution("s2", "i-1");
     }
 
     void answer(const std::string &id, const std::string &route, const std::string &body)
@@ -31,7 +31,7 @@
                         .signature = standin::ReplicaStandin::signatureOf(id, body)};
     }
 
-    void ran(const std::string &id, const std::string &replica, Duration after = 0s)
+    void addExecution(const std::string &id, const std::string &replica, Duration after = 0s)
     {
         Json::Value it(Json::objectValue);
         it["id"] = id;
@@ -46,11 +46,11 @@
     RunHistory history() const { return {.acts = acts, .disturbances = disturbances}; }
 
     /// A request that ends replicas runs \a after the start, sent by router \a i.
-    void ranFatal(Duration after, std::size_t i = 0)
+    void addFatalExecution(Duration after, std::size_t i = 0)
     {
         const std::string id = "fatal-" + std::to_string(attempts.size());
         attempts[id] = {.route = "safe", .router = i, .sentAt = start};
-        ran(id, "i-" + id, after);
+        addExecution(id, "i-" + id, after);
         executions.back()["body"] = "fatal";
     }
 
@@ -74,7 +74,7 @@
 {
     SUBCASE("a call that may run once ran twice")
     {
-        ran("s1", "i-2");
+        addExecution("s1", "i-2");
     }
     SUBCASE("it was said not to have run, and did")
     {
@@ -90,7 +90,7 @@
     }
     SUBCASE("nobody sent it")
     {
-        ran("s9", "i-1");
+        addExecution("s9", "i-1");
     }
     SUBCASE("the key reached a replica")
     {
@@ -110,8 +110,8 @@
     }
     SUBCASE("more replicas than the route allows")
     {
-        ran("s2", "i-2");
-        ran("s2", "i-3");
+        addExecution("s2", "i-2");
+        addExecution("s2", "i-3");
     }
     SUBCASE("held back for what another request did")
     {
@@ -131,10 +131,10 @@
     attempts["s2"].saysLeaving = true;
     attempts["s2"].answeredAt = start;
     attempts["s3"] = {.route = "safe", .router = 1, .sentAt = start + 3s};
-    ran("s3", "i-1", 3s);
+    addExecution("s3", "i-1", 3s);
     CHECK(broken() == 0);
     attempts["s4"] = {.route = "safe", .sentAt = start + 3s};
-    ran("s4", "i-1", 3s);
+    addExecution("s4", "i-1", 3s);
     CHECK(broken() == 1);
     disturbances = {{.router = 0, .from = start + 1s, .until = start + 2s}};
     CHECK(broken() == 0);
@@ -144,7 +144,7 @@
 {
     const auto arrive = [&](const std::string &id, Duration after, double pause) {
         attempts[id] = {.route = "safe", .sentAt = start + std::chrono::milliseconds(after / 1ms)};
-        ran(id, "i-1", after);
+        addExecution(id, "i-1", after);
         executions.back()["turned_away"] = true;
         executions.back()["pause_ms"] = pause;
     };
@@ -162,12 +162,12 @@
 TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_requestThatEndsReplicas_runsThreeTimesMoreAtMost")
 {
     for (int i = 0; i < 6; ++i)
-        ranFatal(i * 1s); // The third at 2 s; none more than 3 s later.
+        addFatalExecution(i * 1s); // The third at 2 s; none more than 3 s later.
     CHECK(broken() == 0);
     for (int i = 0; i < 3; ++i)
-        ranFatal(6s);
+        addFatalExecution(6s);
     CHECK(broken() == 0);
-    ranFatal(7s, 1);
+    addFatalExecution(7s, 1);
     CHECK(broken() == 1);
     disturbances = {{.router = 1, .from = start + 1s, .until = start + 5s}};
     CHECK(broken() == 0);
--- a/test/integration/StandinTest.cpp
+++ b/test/integration/StandinTest.cpp
@@ -106,8 +106,9 @@
 TEST_CASE_FIXTURE(StandinFixture, "engine_streamTakenUpAgain_continuesAfterTheOffset")
 {
     start("engine");
-    const std::string whole = text("POST", "/v1/chat/completions", Chat, {{"X-Request-Id", "r1"}});
-    CHECK(contains(whole, "t0 "));
+    const std::string complete =
+            text("POST", "/v1/chat/completions", Chat, {{"X-Request-Id", "r1"}});
+    CHECK(contains(complete, "t0 "));
     const std::string rest = text("GET", "/v1/streams/r1", {}, {{"Last-Event-ID", "3"}});
     CHECK_FALSE(contains(rest, "t3 "));
     CHECK(contains(rest, "t4 "));
@@ -123,7 +124,7 @@
     EventLoop loop;
     HttpClient client(loop);
     bool ended = false;
-    bool whole = false;
+    bool complete = false;
     const HttpCallPtr call =
             client.send({.address = address,
                          .method = "POST",
@@ -137,14 +138,14 @@
                          .onEnd =
                                  [&](const Result<void> &result) {
                                      ended = true;
-                                     whole = bool(result);
+                                     complete = bool(result);
                                  }});
     Fleet::waitFor([&] {
         loop.runOnce();
         return ended;
     });
     CHECK(ended);
-    CHECK_FALSE(whole);
+    CHECK_FALSE(complete);
 }
 
 TEST_CASE_FIXTURE(StandinFixture, "engine_orderWithOldFence_isRefusedOnlyWhereFencingIsChecked")
--- a/test/integration/StatusTest.cpp
+++ b/test/integration/StatusTest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-struct AskedFleetFixture
+struct StatusFleetFixture
 {
-    AskedFleetFixture()
+    StatusFleetFixture()
     {
         standin::Deployment small = standin::deploymentNamed("fraserlight");
         small.engines = 2;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(AskedFleetFixture, "status_afterRequests_showsUpstreamsAndRefusals")
+TEST_CASE_FIXTURE(StatusFleetFixture, "status_afterRequests_showsUpstreamsAndRefusals")
 {
     const Result<HttpAnswer> chat = Fleet::fetch(
             {.address = fleet->routerAddress(0),
@@ -55,7 +55,7 @@
         CHECK(json.body.find(it) != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(AskedFleetFixture, "status_page_asksForTheOperatorsKeyAsPassword")
+TEST_CASE_FIXTURE(StatusFleetFixture, "status_page_asksForTheOperatorsKeyAsPassword")
 {
     CHECK(get("/status", "").head.status == 401);
     CHECK(get("/status", "Basic !").head.status == 401);
