--- a/test/integration/CliTest.cpp
+++ b/test/integration/CliTest.cpp
@@ -26,7 +26,7 @@
         setenv("CATKINLOFT_KEY", Fleet::operatorKey().c_str(), 1);
     }
 
-    /// Runs a command against router 0; its output is in `output` then.
+    /// Runs a command against router 0 and stores what it printed in `output`.
     int run(std::vector<std::string> arguments)
     {
         const std::string log = fleet->folder() + "/command-" + std::to_string(++commands);
@@ -67,12 +67,12 @@
     CHECK(printed("\"revision\":3"));
     REQUIRE(run({"history"}) == 0);
     CHECK(printed("desk"));
-    // The other router is listed once the two have heard of each other.
+    // The other router is listed once the two have received each other's heartbeats.
     CHECK(Fleet::waitFor([&] { return run({"status"}) == 0 && printed("router-1"); }));
     CHECK(printed("revision 3"));
 }
 
-TEST_CASE_FIXTURE(CommandLineFixture, "cli_sameChangeIdTwice_getsTheFirstResult")
+TEST_CASE_FIXTURE(CommandLineFixture, "cli_sameChangeIdTwice_returnsTheFirstResult")
 {
     const std::string path = write(fleet->inventory() + "rules: {load_bound: 1.5}\n");
     REQUIRE(run({"--change_id=one", "apply", path}) == 0);
@@ -81,7 +81,7 @@
     CHECK(printed("\"revision\":2"));
 }
 
-TEST_CASE_FIXTURE(CommandLineFixture, "cli_mistakes_endWithTheirCode")
+TEST_CASE_FIXTURE(CommandLineFixture, "cli_invalidCommands_exitWithTheirCode")
 {
     CHECK(run({"apply", write("engines: [{name: x}]\n")}) == 2);
     CHECK(printed("engines[0].model: is missing"));
--- a/test/integration/ControlTest.cpp
+++ b/test/integration/ControlTest.cpp
@@ -52,7 +52,8 @@
         return out;
     }
 
-    /// \returns whether every router but \a without lists \a n live ones.
+    /// \returns whether every router except \a without lists exactly \a n routers that are not
+    /// leaving.
     bool allRoutersSee(std::size_t n, const std::vector<std::size_t> &without) const
     {
         for (std::size_t i = 0; i < Routers; ++i) {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Each process's own log may only show rising revisions.
+    /// Checks that the revisions in each router's log only increase; they may start again when the
+    /// process does.
     void checkRevisionsIncrease() const
     {
         for (std::size_t i = 0; i < Routers; ++i) {
@@ -132,7 +134,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(NineRouterProcessesFixture,
-                  "control_storeDownRightAfterAcceptance_isInForceOnAllAndOnAReplacedRouter")
+                  "control_storeDownRightAfterAcceptance_isActiveOnAllAndOnARestartedRouter")
 {
     const Result<HttpAnswer> accepted = Fleet::fetch(change(2, 1, 10));
     setStores("down");
@@ -157,7 +159,8 @@
     checkRevisionsIncrease();
 }
 
-TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_hundredRacesOfOperators_haveOneWinnerEach")
+TEST_CASE_FIXTURE(NineRouterProcessesFixture,
+                  "control_hundredConcurrentChanges_oneIsAcceptedEachTime")
 {
     for (std::uint64_t base = 1; base <= 100; ++base) {
         std::array<int, 3> statuses{};
@@ -210,14 +213,14 @@
 TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_wrongVmList_changesNothing")
 {
     fleet->publishVms({1, 2, 3, 4, 5, 6, 7, 8});
-    std::this_thread::sleep_for(3s); // The list is read each second; nothing else is waited for.
+    std::this_thread::sleep_for(3s); // Routers read the list once a second.
     CHECK(allRoutersSee(9, {}));
     const Json::Value where = get(0, "/v1/where?workspace=a&chat=b");
     for (std::size_t i = 1; i < Routers; ++i)
         CHECK(get(i, "/v1/where?workspace=a&chat=b")["router"] == where["router"]);
 }
 
-TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_lostCommitAnswer_isSettledAndRepeatable")
+TEST_CASE_FIXTURE(NineRouterProcessesFixture, "control_commitAnswerLost_retryReturnsTheOutcome")
 {
     setStores("lose_answers");
     const Result<HttpAnswer> unsettled = Fleet::fetch(change(1, 1, 10, "change-1"));
--- a/test/integration/EntryTest.cpp
+++ b/test/integration/EntryTest.cpp
@@ -85,7 +85,8 @@
         : EntryFleetFixture({.binaries = CATKINLOFT_BINARIES, .replicas = 4, .domains = 2})
     { }
 
-    /// Sends calls and streams to every router. \returns the ids of those that were served.
+    /// Sends calls and streams to every router.
+    /// \returns the ids of the requests that were answered with 200.
     std::set<std::string> sendToAllRouters()
     {
         std::set<std::string> out;
@@ -98,16 +99,17 @@
         return out;
     }
 
-    /// In which an evacuation has to be in force.
+    /// All routers must apply an evacuation within this time.
     static constexpr auto EvacuationDeadline = 1500ms;
 };
 
-/// Two replicas of each service, and more requests than a cold one bears.
+/// Two replicas of each service and more requests than the rate limit of a cold one allows.
 struct ColdReplicaFixture : EntryFleetFixture
 {
     ColdReplicaFixture() : EntryFleetFixture({.binaries = CATKINLOFT_BINARIES, .replicas = 2}) { }
 
-    /// Calls all routers as fast as they answer. \returns how many were served and how many not.
+    /// Calls all routers for \a length, each caller sending its next request after the last answer.
+    /// \returns how many requests were answered with 200 and how many were not.
     std::pair<int, int> callFor(Duration length)
     {
         std::atomic<int> served = 0;
@@ -134,7 +136,8 @@
         return {served, failed};
     }
 
-    /// \returns the most requests that reached replica \a id within one second, from \a fromMs on.
+    /// \returns the highest number of requests that reached replica \a id within any one second
+    /// since \a fromMs.
     std::size_t maxRequestsPerSecond(const std::string &id, std::int64_t fromMs) const
     {
         std::vector<std::int64_t> times;
@@ -152,7 +155,7 @@
         return most;
     }
 
-    /// Until all routers know a new entry.
+    /// Time within which all routers know a new registry entry.
     static constexpr auto EntryPropagationTime = 1500ms;
 
     static std::int64_t nowMs()
@@ -161,12 +164,12 @@
     }
 };
 
-/// A fleet beside which a request comes again and again that ends each replica that runs it.
+/// A fleet that receives a request repeatedly that crashes each replica that runs it.
 struct FatalRequestFixture
 {
     FatalRequestFixture() { fleet.start(); }
 
-    /// \returns the status that one request with \a body gets at router \a i.
+    /// Sends a request with \a body to router \a i. \returns its status, or 0 without an answer.
     int send(std::size_t i, const std::string &body)
     {
         const std::string id = fmt::format("{}-{}", body, ++requests);
@@ -183,7 +186,7 @@
         return answer ? answer.value().head.status : 0;
     }
 
-    /// \returns when runs of the fatal request began, in milliseconds.
+    /// \returns when replicas executed the fatal request, in milliseconds, in ascending order.
     std::vector<std::int64_t> fatalExecutionTimes() const
     {
         std::vector<std::int64_t> out;
@@ -201,7 +204,8 @@
 
 } // namespace
 
-// Guards against a request that ends its replicas at one router after the other.
+// Guards against a request that crashes replicas through one router after the other because the
+// routers do not share what they know of it. A caller sends it to each router in turn.
 TEST_CASE_FIXTURE(FatalRequestFixture, "entry_replicasEndUnderARequest_everyRouterHoldsItBack")
 {
     constexpr std::int64_t StableWindow = 3000;
@@ -228,15 +232,15 @@
         CHECK(send(i, "fatal") == 503);
 }
 
-// Guards against sending to a replica that says in its answers that it leaves while the store, and
-// with it the replica's entry, is out of reach.
+// Guards against sending requests to a replica that reports in its answers that it is leaving,
+// while the store is unavailable, so that the replica's registry entry cannot be read.
 TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaSaysThatItLeavesWhileTheStoreIsAway_getsNothing")
 {
     constexpr auto DrainDeadline = 2s;
     fleet.setReplicaFaults(0, R"({"leaving":1})");
     fleet.setStoreMode("down");
     std::optional<std::chrono::steady_clock::time_point>
-            leavingReportedAt; ///< The first of all routers.
+            leavingReportedAt; ///< To the first router.
     std::set<std::string> late;
     const auto until = std::chrono::steady_clock::now() + 4500ms;
     for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
@@ -257,7 +261,8 @@
     }
 }
 
-// Guards against sending to a failure domain that the operator has asked to be left alone.
+// Guards against sending requests to a failure domain that the operator has evacuated, also from a
+// router that was restarted meanwhile.
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_getsNothingUntilItIsTakenBack")
 {
     fleet.evacuate("hall-1");
@@ -276,7 +281,8 @@
     CHECK(Fleet::waitFor([&] { return executionsIn("hall-1", sendToAllRouters()) > 0; }));
 }
 
-// Guards against a router that has slept through the word and sends before it has heard of it.
+// Guards against a router that was suspended when the evacuation was announced and, once resumed,
+// sends requests to the evacuated domain before it has received the update.
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_routerSuspendedDuringAnEvacuation_sendsNothingThere")
 {
     fleet.router(0).signal(SIGSTOP);
@@ -292,7 +298,7 @@
     CHECK(executionsIn("hall-1", served) == 0);
 }
 
-// Guards against callers that wait where every failure domain is evacuated.
+// Guards against requests that wait for an upstream when every failure domain is evacuated.
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_allDomainsEvacuated_refusesAtOnceAsNotRun")
 {
     fleet.evacuate("hall-0");
@@ -306,7 +312,7 @@
     CHECK(Fleet::waitFor([&] { return status(0, "/safe/a") == 200; }));
 }
 
-// Guards against routers that together send a cold replica more than it bears, which ends it.
+// Guards against routers that together exceed the rate limit of a cold replica, which crashes it.
 TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_coldReplicaBesideAWarmOne_getsWhatItBears")
 {
     fleet.setReplicaFaults(0, R"({"cold_per_s":20})");
@@ -322,7 +328,8 @@
     CHECK(failed == 0);
 }
 
-// Guards against the same where no warm replica is left: what can't be sent is refused at once.
+// Guards against exceeding the rate limit of cold replicas when no warm replica is left: requests
+// above the limit are refused at once.
 TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_allReplicasCold_getWhatTheyBearAndTheRestIsRefused")
 {
     for (const std::size_t i : {0U, 1U}) {
@@ -374,7 +381,7 @@
     CHECK(fleet.router(2).wait() == 0);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_settingsChange_areInForceOnSighupUnlessTheyAreWrong")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_settingsChange_isActiveAfterSighupUnlessInvalid")
 {
     const auto lifetime = [&] {
         const Result<HttpAnswer> answer = Fleet::fetch(
@@ -395,7 +402,7 @@
     CHECK(status(0, "/safe/a") == 200);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_keyTakenAway_isRefusedOnEveryRouter")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_keyRevoked_isRefusedOnEveryRouter")
 {
     fleet.writeConfig({"second-key"});
     for (std::size_t i = 0; i < fleet.routerCount(); ++i) {
@@ -404,7 +411,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_configurationAfterForgottenHistory_isInForce")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_configurationAfterDeletedHistory_isActive")
 {
     fleet.forgetHistory();
     fleet.writeConfig({EntryFleet::Key}, true);
@@ -412,7 +419,7 @@
         CHECK(Fleet::waitFor([&] { return status(i, "/extra/a") == 200; }));
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_storeIsDown_refusesKeysAsNotRunAndServesAgainAfter")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_storeDown_refusesAsNotRunAndRecovers")
 {
     fleet.setStoreMode("down");
     CHECK(Fleet::waitFor([&] { return status(0, "/safe/a") == 503; }));
@@ -423,14 +430,14 @@
     CHECK(Fleet::waitFor([&] { return fleet.isReady(0); }));
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_oneRouterCutFromStore_learnsOfChangesFromItsPeers")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_oneRouterCutOffFromStore_receivesChangesFromPeers")
 {
-    // All three read the store in a fleet this small; the one that is cut off asks the others.
+    // In a fleet of three all routers read the store; the one that is cut off asks the others.
     fleet.setStoreProxyFaults(1, R"({"refuse":true,"cut":true})");
     fleet.writeConfig({"second-key"});
     CHECK(Fleet::waitFor([&] { return status(1, "/safe/a", "second-key") == 200; }));
     CHECK(status(1, "/safe/a") == 401);
-    // Longer than an own proof would last: it is renewed by the peers.
+    // Longer than the router's own freshness proof is valid: the peers renew it.
     const auto until = std::chrono::steady_clock::now() + 6s;
     bool always = true;
     while (std::chrono::steady_clock::now() < until)
@@ -438,7 +445,7 @@
     CHECK(always);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_suspendedRouter_servesNoKeyThatWasTakenAwayMeanwhile")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_suspendedRouter_refusesKeyRevokedMeanwhile")
 {
     fleet.router(0).signal(SIGSTOP);
     fleet.writeConfig({"second-key"});
@@ -466,14 +473,14 @@
 }
 
 TEST_CASE_FIXTURE(EntryFleetFixture,
-                  "entry_answersLost_onceOnlyCallsRunOnceAndIdempotentAreAnswered")
+                  "entry_answersLost_nonIdempotentRunOnceAndIdempotentAreAnswered")
 {
     for (std::size_t i = 0; i < 3; ++i)
         fleet.setReplicaFaults(i, R"({"lose":0.4})");
     int answered = 0;
     for (int i = 0; i < 20; ++i)
         answered += status(0, "/safe/a") == 200 ? 1 : 0;
-    CHECK(answered >= 12); // Alone, 8 of 20 would fail.
+    CHECK(answered >= 12); // Without retries, 8 of 20 would fail on average.
     for (int i = 0; i < 20; ++i) {
         const int got = status(1, "/once/a", EntryFleet::Key, "POST");
         CHECK((got == 200 || got == 502));
@@ -481,14 +488,14 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_streamsCutWithinEvents_areResumedWhole")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_streamsCutWithinEvents_areResumedCompletely")
 {
     for (std::size_t i = 3; i < 6; ++i)
         fleet.setReplicaFaults(i, R"({"cut":0.3})");
     for (int i = 0; i < 15; ++i) {
         const Result<HttpAnswer> answer = send(0, "/stream/a?events=6");
         if (!answer)
-            continue; // Both replicas cut it: the caller sees that.
+            continue; // Every attempt was cut, and the caller gets an error.
         std::string expected;
         for (int k = 1; k <= 6; ++k)
             expected += fmt::format("id: {}\ndata: piece {}\n\n", k, k);
@@ -496,7 +503,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_plannedStop_endsRunningStreamsWhole")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_plannedStop_completesRunningStreams")
 {
     std::vector<std::thread> callers;
     callers.reserve(8);
--- a/test/integration/FaultTable.cpp
+++ b/test/integration/FaultTable.cpp
@@ -25,7 +25,7 @@
     fleet.setProxyFaults(fleet.replicaAddress(i), faults);
 }
 
-/// Two operators change the same revision through two routers.
+/// Applies two changes of the same revision concurrently, through two routers.
 void raceChanges(Fleet &fleet)
 {
     const std::string text = fleet.inventory();
--- a/test/integration/FaultTable.h
+++ b/test/integration/FaultTable.h
@@ -8,16 +8,16 @@
 
 namespace catkinloft::test {
 
-/// \brief One fault that tests bring about and end again.
+/// \brief A fault that a test injects into a running fleet and removes again.
 struct Fault
 {
     std::string_view name;
-    std::string_view location; ///< Two faults of one place can't coincide.
+    std::string_view location; ///< Faults with the same location are never injected together.
     std::function<void(standin::Fleet &, standin::LoadDriver &)> begin;
     std::function<void(standin::Fleet &)> end;
 };
 
-/// \returns the faults of the brief.
+/// \returns all faults that the fleet has to tolerate, alone and in pairs.
 std::span<const Fault> faultTable();
 
 } // namespace catkinloft::test
--- a/test/integration/FaultTest.cpp
+++ b/test/integration/FaultTest.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-/// Fleets side by side; more would only slow each other down on a small machine.
+/// Number of fleets that run in parallel. More would slow each other down on a small machine.
 constexpr std::size_t Workers = 3;
 
 struct FaultCase
 {
     const Fault *first;
-    const Fault *second; ///< Or nullptr.
+    const Fault *second; ///< Null if the first fault is injected alone.
 
     std::string name() const
     {
@@ -80,7 +80,7 @@
     return driver.run();
 }
 
-/// Every fault alone and every two that can come together, shared out among the fleets.
+/// Runs every fault alone and every pair with different locations, spread over the fleets.
 struct EveryFaultFixture
 {
     EveryFaultFixture()
--- a/test/integration/OrderTest.cpp
+++ b/test/integration/OrderTest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Three engines that check fencing numbers; the inventory believes it of the first two only.
+/// Three engines that check fencing numbers. The inventory states this for the first two only.
 struct EngineOrderFixture
 {
     EngineOrderFixture()
@@ -30,7 +30,7 @@
         fleet->start();
     }
 
-    /// \returns the fleet's inventory with \a version wanted of every engine.
+    /// \returns the fleet's inventory with \a version as the wanted version of every engine.
     std::string inventoryWithVersion(const std::string &version) const
     {
         std::string out = fleet->inventory();
@@ -64,7 +64,7 @@
                 limit);
     }
 
-    /// \returns the router that took the lease of \a engine.
+    /// \returns the index of the router that took the lease of \a engine, or 3 if none did.
     std::size_t holderOf(const std::string &engine) const
     {
         const std::string key = orderLeaseKey(orderGroupOf(engine)) + "\"";
@@ -82,12 +82,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(EngineOrderFixture, "orders_driftThenHolderPausedPastItsLease_comeOutRight")
+TEST_CASE_FIXTURE(EngineOrderFixture,
+                  "orders_driftThenHolderPausedPastItsLease_reachTheWantedVersion")
 {
     REQUIRE(fleet->apply(inventoryWithVersion("v1")) == 200);
     CHECK(waitForVersion(0, "v1", 60s));
     CHECK(waitForVersion(1, "v1", 60s));
-    CHECK(waitForVersion(2, "", 60s)); // Ignores numbers and serves: only the adapter is given.
+    CHECK(waitForVersion(2, "",
+                         60s)); // Declared as not checking, and serving: it only gets the adapter.
 
     const std::size_t holder = holderOf("engine-0");
     REQUIRE(holder < 3);
@@ -103,7 +105,7 @@
                 || log.find("lease_lost") != std::string::npos;
     }));
     CHECK(state(0)["version"].asString() == "v2");
-    // With the number of the holder that was paused the engine obeys nobody any more.
+    // The engine refuses every order with the fencing number of the paused holder.
     const Result<HttpAnswer> late = Fleet::fetch(
             {.address = fleet->engineAddress(0),
              .method = "POST",
--- a/test/integration/PathTest.cpp
+++ b/test/integration/PathTest.cpp
@@ -46,7 +46,7 @@
     std::unique_ptr<Fleet> fleet;
 };
 
-/// One router before more replicas of a service than a request that ends them should reach.
+/// One router with more replicas of a service than a request that crashes them may reach.
 struct FatalCallFixture
 {
     FatalCallFixture()
@@ -74,12 +74,12 @@
 
 } // namespace
 
-// Guards against a request that ends each replica that runs it and is placed on all of them.
+// Guards against a request that crashes each replica that runs it and is sent to all of them.
 TEST_CASE_FIXTURE(FatalCallFixture, "fleet_replicasEndUnderACall_isHeldBackAndOthersAreServed")
 {
     Result<HttpAnswer> answer = call("fatal");
     for (int i = 0; i < 6; ++i) {
-        std::this_thread::sleep_for(150ms); // Ends at one moment are one piece of evidence.
+        std::this_thread::sleep_for(150ms); // Crashes close in time count as one incident.
         answer = call("fatal");
     }
     REQUIRE(answer);
@@ -89,8 +89,8 @@
     std::size_t runs = 0;
     for (const Json::Value &it : fleet->executions())
         runs += it["body"].asString() == "fatal" ? 1 : 0;
-    CHECK(runs <= 4); // Two for the first, then one each until three moments are known.
-    // Some upstreams that ended are still chosen; a caller that comes back as it is told is served.
+    CHECK(runs <= 4); // Two for the first call, then one each until three incidents are recorded.
+    // Some crashed upstreams are still chosen; a caller that retries after Retry-After is served.
     CHECK(Fleet::waitFor([&] {
         const Result<HttpAnswer> good = call("good");
         REQUIRE(good);
@@ -99,7 +99,7 @@
     }));
 }
 
-TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_wholeChat_answersOnEveryRouter")
+TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_nonStreamedChat_answersOnEveryRouter")
 {
     for (std::size_t i = 0; i < 3; ++i) {
         const Result<HttpAnswer> answer = Fleet::fetch(chat(false, i));
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_streamedChat_bringsEveryTokenAndTheEnd")
+TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_streamedChat_returnsEveryTokenAndTheEnd")
 {
     const Result<HttpAnswer> answer = Fleet::fetch(chat(true));
     REQUIRE(answer);
@@ -131,7 +131,7 @@
     CHECK(answer.value().head.status == 200);
 }
 
-// Guards against a test fleet that counts as started before its upstreams listen.
+// Guards against a test fleet that is reported as started before its upstreams listen.
 TEST_CASE("fleet_upstreamsListenLate_startWaitsForThem")
 {
     Fleet fleet({.deployment = smallDeployment(),
@@ -145,8 +145,8 @@
         CHECK(Fleet::isListening(fleet.replicaAddress(i)));
 }
 
-// Guards against a bad gateway for a call that reached nobody: callers can't tell that it did not
-// run.
+// Guards against status 502 for a call that reached no replica: callers cannot tell from it that
+// the call did not run.
 TEST_CASE_FIXTURE(RunningFleetFixture,
                   "fleet_noReplicaListens_callIsRefusedAsNotRunWithTimeToComeBack")
 {
@@ -169,7 +169,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_plainCall_neverShowsTheServiceTheKey")
+TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_plainCall_keyIsNotForwardedToTheService")
 {
     const Result<HttpAnswer> answer =
             Fleet::fetch({.address = fleet->routerAddress(1),
--- a/test/integration/PlatformTableTest.cpp
+++ b/test/integration/PlatformTableTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The product's own rows in a stand-in of the platform's store.
+/// A PlatformTable connected to a stand-in of the platform's row store.
 struct PlatformTableFixture
 {
     PlatformTableFixture()
@@ -25,7 +25,7 @@
         }));
     }
 
-    /// Writes \a n rows, a hundred in one transaction.
+    /// Writes \a n rows, 100 in each transaction.
     void write(int n)
     {
         TableTransaction transaction;
--- a/test/integration/PortAllocatorTest.cpp
+++ b/test/integration/PortAllocatorTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Allocators as two test programs on one machine have them.
+/// Two independent allocators, as in two test programs on one machine.
 struct PortAllocatorFixture
 {
     PortAllocator first;
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PortAllocatorFixture, "portAllocator_portsNotYetBound_areNotHandedToAnotherFleet")
+TEST_CASE_FIXTURE(PortAllocatorFixture, "portAllocator_portsNotYetBound_areNotAllocatedTwice")
 {
     std::set<std::uint16_t> all;
     for (int i = 0; i < 10; ++i) {
@@ -29,9 +29,10 @@
     }
 }
 
-TEST_CASE("portAllocator_allocatorGone_itsBlocksAreHandedOutAgain")
+TEST_CASE("portAllocator_allocatorDestroyed_itsBlocksAreReused")
 {
-    // More blocks than there are in all, so that what is not given back is missed.
+    // More blocks than exist in total: if destroyed allocators did not release theirs, take() would
+    // run out.
     for (int i = 0; i < 300; ++i) {
         PortAllocator it;
         CHECK(it.take(1).size() == 1);
--- a/test/integration/RequestLifeTest.cpp
+++ b/test/integration/RequestLifeTest.cpp
@@ -27,7 +27,7 @@
     return out;
 }
 
-/// The text of the tokens in a stream, in the order received.
+/// \returns the text of all tokens in \a stream, in the order received.
 std::string textOf(const std::string &stream)
 {
     constexpr std::string_view Field = "\"content\":\"";
@@ -40,7 +40,7 @@
     return out;
 }
 
-/// Three routers before one engine and one replica, each behind a proxy that can fail.
+/// Three routers with one engine and one replica, each behind a proxy that injects faults.
 struct FaultyFleetFixture
 {
     FaultyFleetFixture()
@@ -156,7 +156,8 @@
         bool complete = false;
     };
 
-    /// Sends \a call; \a onToken runs once when some tokens have come, and may end it early.
+    /// Sends \a call and reads its answer. \a onToken is called once, when token 5 has arrived, and
+    /// aborts the call by returning false.
     static StreamResult readStream(HttpCall call, const std::function<bool()> &onToken)
     {
         EventLoop loop;
@@ -187,13 +188,13 @@
     }
 
     std::unique_ptr<Fleet> fleet;
-    std::map<std::string, std::string> control; ///< Address of a proxy's faults by target.
+    std::map<std::string, std::string> control; ///< Control address of each proxy by its target.
     std::vector<std::unique_ptr<ChildProcess>> proxies;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_connectionsGoSilent_isWholeAndRunsOnce")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_connectionsGoSilent_isCompleteAndRunsOnce")
 {
     const std::string engine = fleet->engineAddress(0);
     const StreamResult part = readStream(chat(true), [&] {
@@ -235,7 +236,7 @@
     CHECK(executions(fleet->engineAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerLeavesForGood_isCancelledAtTheEngine")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerDisconnectsForGood_isCancelledAtTheEngine")
 {
     readStream(chat(true), [] { return false; });
     const auto cancelled = [this] {
@@ -253,7 +254,7 @@
     REQUIRE(first);
     CHECK(first.value().head.status == 200);
     std::optional<Result<HttpAnswer>> second;
-    // The outcome is recorded behind the answer.
+    // The outcome is recorded after the answer is sent.
     Fleet::waitFor([&] {
         second = Fleet::fetch(dispatch("key-1", 1));
         return *second && second->value().head.status == 200;
@@ -266,7 +267,7 @@
     CHECK(executions(fleet->replicaAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_answerLost_isNeverRepeatedAndToldSo")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_answerLost_isNotRetriedAndReportsOutcomeUnknown")
 {
     const std::string replica = fleet->replicaAddress(0);
     fault(replica, R"({"lose_answers":1})");
@@ -282,7 +283,7 @@
     CHECK(executions(replica) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_routerKilledAfterSending_isNeverRepeated")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_routerKilledAfterSending_isNotRetried")
 {
     EventLoop loop;
     HttpClient client(loop);
@@ -300,7 +301,7 @@
     CHECK(executions(fleet->replicaAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_storeDown_isRefusedUnrun")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_storeDown_isRefusedAsNotRun")
 {
     fleet->platform("table").signal(SIGKILL);
     const auto answer = Fleet::fetch(dispatch("key-4"));
@@ -313,7 +314,7 @@
     CHECK(unkeyed.value().head.status == 200);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "router_plannedStop_cutsOffNothing")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "router_plannedStop_abortsNothing")
 {
     const StreamResult part = readStream(chat(true, 1), [&] {
         fleet->router(1).signal(SIGTERM);
@@ -322,7 +323,7 @@
                     Fleet::fetch({.address = fleet->routerAddress(1), .target = "/readyz"});
             return ready && ready.value().head.status == 503;
         });
-        // For a while it still serves callers that hold an older address answer.
+        // The router still serves callers that cached its address before it began to drain.
         const auto late = Fleet::fetch(dispatch("", 1));
         REQUIRE(late);
         CHECK(late.value().head.status == 200);
--- a/test/integration/SoakCheckTest.cpp
+++ b/test/integration/SoakCheckTest.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-/// What callers saw and replicas ran in a run in which nothing went wrong; each case spoils one
-/// thing.
+/// Answers and executions of a run without violations; each case adds one violation to it.
 struct SoakCheckFixture
 {
     SoakCheckFixture()
@@ -45,7 +44,8 @@
 
     RunHistory history() const { return {.acts = acts, .disturbances = disturbances}; }
 
-    /// A request that ends replicas runs \a after the start, sent by router \a i.
+    /// Adds an execution of a request that crashes replicas, sent by router \a i, \a after the
+    /// start.
     void addFatalExecution(Duration after, std::size_t i = 0)
     {
         const std::string id = "fatal-" + std::to_string(attempts.size());
@@ -76,19 +76,19 @@
     {
         addExecution("s1", "i-2");
     }
-    SUBCASE("it was said not to have run, and did")
+    SUBCASE("a request reported as not run did run")
     {
         attempts["s1"].status = 503;
     }
-    SUBCASE("the answer of another")
+    SUBCASE("the answer of another request")
     {
         attempts["s2"].body = "s1 answered by i-1";
     }
-    SUBCASE("a part of the answer")
+    SUBCASE("a truncated answer")
     {
         attempts["s2"].body.pop_back();
     }
-    SUBCASE("nobody sent it")
+    SUBCASE("an execution that no caller requested")
     {
         addExecution("s9", "i-1");
     }
@@ -96,13 +96,13 @@
     {
         executions[0]["key_seen"] = true;
     }
-    SUBCASE("a key that was taken away")
+    SUBCASE("a revoked key is served")
     {
         acts.push_back({.acknowledgedAt = start - 6s, .key = "k"});
         attempts.erase("s2");
         executions.pop_back();
     }
-    SUBCASE("a replica that drains")
+    SUBCASE("a draining replica gets a request")
     {
         acts.push_back({.acknowledgedAt = start - 3s, .replica = "i-1"});
         attempts.erase("s2");
@@ -113,20 +113,20 @@
         addExecution("s2", "i-2");
         addExecution("s2", "i-3");
     }
-    SUBCASE("held back for what another request did")
+    SUBCASE("quarantined for the crashes of another request")
     {
         attempts["s2"].status = 503;
         attempts["s2"].body = R"({"reason":"request_quarantined"})";
         executions.pop_back();
     }
-    SUBCASE("answered without having run")
+    SUBCASE("an answer to a request that did not run")
     {
         executions.pop_back();
     }
     CHECK(broken() == 1);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_replicaSaysThatItLeaves_getsNothingFromThatRouter")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_replicaReportsLeaving_getsNothingFromThatRouter")
 {
     attempts["s2"].saysLeaving = true;
     attempts["s2"].answeredAt = start;
@@ -159,10 +159,10 @@
     CHECK(broken() == 1);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_requestThatEndsReplicas_runsThreeTimesMoreAtMost")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_requestThatCrashesReplicas_runsThreeTimesMoreAtMost")
 {
     for (int i = 0; i < 6; ++i)
-        addFatalExecution(i * 1s); // The third at 2 s; none more than 3 s later.
+        addFatalExecution(i * 1s); // The third runs at 2 s; none runs more than 3 s after it.
     CHECK(broken() == 0);
     for (int i = 0; i < 3; ++i)
         addFatalExecution(6s);
@@ -173,7 +173,7 @@
     CHECK(broken() == 0);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_wrongAnswer_lineSaysWhatTheCallerHadAndWhereItRan")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_wrongAnswer_lineNamesTheAnswerAndWhereItRan")
 {
     attempts["s2"].body = "s2 answered";
     executions[1]["resumed"] = true;
--- a/test/integration/StandinTest.cpp
+++ b/test/integration/StandinTest.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// One stand-in process, and perhaps a fault proxy before it.
+/// One stand-in process, optionally behind a fault proxy.
 struct StandinFixture
 {
     void start(const std::string &role, const std::vector<std::string> &flags = {})
@@ -77,10 +77,11 @@
     std::unique_ptr<ChildProcess> proxy;
 };
 
-/// One direction of a connection under a paused clock.
+/// A DelayLine (one direction of a connection) with a manual clock.
 struct DelayLineFixture
 {
-    /// \returns what leaves now, a bar behind each piece and "end" for the end.
+    /// \returns the chunks that are due now, each followed by a bar, and "end" for the end of the
+    /// stream.
     std::string due()
     {
         std::string out;
@@ -103,7 +104,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(StandinFixture, "engine_streamTakenUpAgain_continuesAfterTheOffset")
+TEST_CASE_FIXTURE(StandinFixture, "engine_streamResumed_continuesAfterTheOffset")
 {
     start("engine");
     const std::string complete =
@@ -117,7 +118,7 @@
     CHECK(text("GET", "/v1/streams/unknown").starts_with("404"));
 }
 
-TEST_CASE_FIXTURE(StandinFixture, "engine_cancelledStream_breaksOff")
+TEST_CASE_FIXTURE(StandinFixture, "engine_cancelledStream_isAborted")
 {
     start("engine", {"--token_ms=300"});
     startProxy();
@@ -166,7 +167,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(StandinFixture, "engine_repeatedChat_isFoundInTheCacheAndMovesByExport")
+TEST_CASE_FIXTURE(StandinFixture, "engine_cachedChat_isReportedAndMovedByExport")
 {
     start("engine", {"--event_lag_ms=0"});
     text("POST", "/v1/chat/completions", Chat, {{"X-Chat-Id", "c1"}});
@@ -177,7 +178,7 @@
     CHECK(text("POST", "/v1/kv/export", R"({"chat":"c2"})").starts_with("200"));
 }
 
-TEST_CASE_FIXTURE(StandinFixture, "table_modes_haveOrHaveNoEffect")
+TEST_CASE_FIXTURE(StandinFixture, "table_downOrAnswersLost_commitsOnlyWhenAnswersAreLost")
 {
     start("table");
     const auto commit = [&](const char *key) {
@@ -222,7 +223,7 @@
 
 TEST_CASE_FIXTURE(StandinFixture, "service_refusedCall_isNotExecuted")
 {
-    start("service", {"--refuse_every=2"}); // The probe of the fixture was the first call.
+    start("service", {"--refuse_every=2"}); // The fixture's probe was the first call.
     CHECK(text("POST", "/refused").starts_with("503"));
     CHECK(text("POST", "/executed").starts_with("200"));
     const std::string executions = text("GET", "/v1/executions");
@@ -230,7 +231,7 @@
     CHECK(contains(executions, "/executed"));
 }
 
-TEST_CASE_FIXTURE(StandinFixture, "proxy_lostAnswer_cutsAfterTheEffect")
+TEST_CASE_FIXTURE(StandinFixture, "proxy_lostAnswer_disconnectsAfterTheEffect")
 {
     start("service");
     startProxy();
@@ -272,7 +273,7 @@
     CHECK(text("GET", "/x").starts_with("200"));
 }
 
-TEST_CASE_FIXTURE(DelayLineFixture, "delayLine_piecesOfOneMoment_leaveInTheirOrder")
+TEST_CASE_FIXTURE(DelayLineFixture, "delayLine_chunksWithOneDueTime_keepTheirOrder")
 {
     for (const char *it : {"a", "b", "c", "d"})
         line.add(it, 120ms);
@@ -282,7 +283,7 @@
     CHECK(!line.nextDue());
 }
 
-TEST_CASE_FIXTURE(DelayLineFixture, "delayLine_delayLifted_laterBytesAndTheEndWaitBehindHeldOnes")
+TEST_CASE_FIXTURE(DelayLineFixture, "delayLine_delayRemoved_laterBytesAndEndWaitForEarlierOnes")
 {
     line.add("a", 120ms);
     clock.advance(50ms);
@@ -295,7 +296,8 @@
     CHECK(due() == "c|");
 }
 
-// Guards against a proxy that changes the order of a connection's bytes, which no network does.
+// Guards against a proxy that reorders the bytes of a TCP connection when a delay is set and
+// removed, which no network does.
 TEST_CASE_FIXTURE(StandinFixture, "proxy_delayComesAndGoes_keepsTheOrderOfBytes")
 {
     constexpr int Tokens = 400;
--- a/test/integration/StatusTest.cpp
+++ b/test/integration/StatusTest.cpp
@@ -55,12 +55,12 @@
         CHECK(json.body.find(it) != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(StatusFleetFixture, "status_page_asksForTheOperatorsKeyAsPassword")
+TEST_CASE_FIXTURE(StatusFleetFixture, "status_page_requiresTheOperatorKeyAsPassword")
 {
     CHECK(get("/status", "").head.status == 401);
     CHECK(get("/status", "Basic !").head.status == 401);
     CHECK(get("/status", "Bearer " + Fleet::workspaceKey(0)).head.status == 401);
-    // "operator:key-of-the-operator"
+    // Base64 of "operator:key-of-the-operator".
     const HttpAnswer page = get("/status", "Basic b3BlcmF0b3I6a2V5LW9mLXRoZS1vcGVyYXRvcg==");
     CHECK(page.head.status == 200);
     CHECK(page.body.find("<caption>Routers</caption>") != std::string::npos);
--- a/test/integration/TlsTest.cpp
+++ b/test/integration/TlsTest.cpp
@@ -26,7 +26,7 @@
             std::chrono::system_clock::now());
 }
 
-/// A listener and a client of it on one loop.
+/// A TLS listener and its client on one event loop.
 struct TlsFixture
 {
     TlsSettings listenerFiles(const Certificates::Pair &pair) const
@@ -36,7 +36,8 @@
                 .caFile = files.writeCertificate("ca.pem", authority)};
     }
 
-    /// \param loadedAt when the listener read its files; a certificate may have expired since.
+    /// \param loadedAt when the listener read its files; its certificate may have expired since
+    /// then.
     void listen(const TlsSettings &settings, WallTime loadedAt = wallNow())
     {
         listenerTls = std::make_unique<TlsContext>(settings);
@@ -89,7 +90,7 @@
     int requests = 0;
 };
 
-/// A certificate that a caller or router has to refuse.
+/// A certificate that a client must refuse.
 struct BadCertificate
 {
     const char *what;
@@ -154,7 +155,7 @@
     CHECK(requests == 0);
 }
 
-TEST_CASE_FIXTURE(TlsFixture, "tls_plainCallToATlsListener_reachesNobody")
+TEST_CASE_FIXTURE(TlsFixture, "tls_plainCallToATlsListener_isNotHandled")
 {
     listen(listenerFiles(Certificates::make({}, &authority)));
     CHECK_FALSE(call(false, nullptr));
@@ -186,7 +187,7 @@
 
 namespace {
 
-/// A router process with TLS towards callers; its platform does not answer.
+/// A router process that serves callers over TLS; its platform services are unreachable.
 struct TlsRouterFixture : TlsFixture
 {
     std::unique_ptr<ChildProcess> start(const TlsSettings &tls)
