--- a/test/integration/EntryTest.cpp
+++ b/test/integration/EntryTest.cpp
@@ -239,8 +239,8 @@
     constexpr auto DrainDeadline = 2s;
     fleet.setReplicaFaults(0, R"({"leaving":1})");
     fleet.setStoreMode("down");
-    std::optional<std::chrono::steady_clock::time_point>
-            leavingReportedAt; ///< To the first router.
+    // When the replica first reported to any router that it is leaving.
+    std::optional<std::chrono::steady_clock::time_point> leavingReportedAt;
     std::set<std::string> late;
     const auto until = std::chrono::steady_clock::now() + 4500ms;
     for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
@@ -367,7 +367,7 @@
 
 TEST_CASE_FIXTURE(EntryFleetFixture, "entry_directory_namesAllRoutersUntilOneStops")
 {
-    const auto namedRouters = [&] {
+    const auto namedRouterCount = [&] {
         const Result<HttpAnswer> answer = Fleet::fetch(
                 {.address = fleet.directoryAddress(0), .target = "/v1/resolve?name=x&zone=hall"});
         std::size_t n = 0;
@@ -375,9 +375,9 @@
             n += answer.value().body.find(fleet.callerAddress(i)) != std::string::npos ? 1 : 0;
         return n;
     };
-    CHECK(Fleet::waitFor([&] { return namedRouters() == 3; }));
+    CHECK(Fleet::waitFor([&] { return namedRouterCount() == 3; }));
     fleet.router(2).signal(SIGTERM);
-    CHECK(Fleet::waitFor([&] { return namedRouters() == 2; }));
+    CHECK(Fleet::waitFor([&] { return namedRouterCount() == 2; }));
     CHECK(fleet.router(2).wait() == 0);
 }
 
