--- a/test/integration/EntryTest.cpp
+++ b/test/integration/EntryTest.cpp
@@ -206,7 +206,7 @@
 
 // Guards against a request that crashes replicas through one router after the other because the
 // routers do not share what they know of it. A caller sends it to each router in turn.
-TEST_CASE_FIXTURE(FatalRequestFixture, "entry_replicasEndUnderARequest_everyRouterHoldsItBack")
+TEST_CASE_FIXTURE(FatalRequestFixture, "entry_requestThatCrashesReplicas_isRefusedByEveryRouter")
 {
     constexpr std::int64_t StableWindow = 3000;
     constexpr std::ptrdiff_t MaxLaterRuns = 3;
@@ -234,7 +234,7 @@
 
 // Guards against sending requests to a replica that reports in its answers that it is leaving,
 // while the store is unavailable, so that the replica's registry entry cannot be read.
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaSaysThatItLeavesWhileTheStoreIsAway_getsNothing")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaReportsLeavingWhileStoreIsDown_getsNothingNew")
 {
     constexpr auto DrainDeadline = 2s;
     fleet.setReplicaFaults(0, R"({"leaving":1})");
@@ -263,7 +263,7 @@
 
 // Guards against sending requests to a failure domain that the operator has evacuated, also from a
 // router that was restarted meanwhile.
-TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_getsNothingUntilItIsTakenBack")
+TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_isExcludedUntilTheEvacuationEnds")
 {
     fleet.evacuate("hall-1");
     std::this_thread::sleep_for(EvacuationDeadline);
@@ -313,7 +313,7 @@
 }
 
 // Guards against routers that together exceed the rate limit of a cold replica, which crashes it.
-TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_coldReplicaBesideAWarmOne_getsWhatItBears")
+TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_coldReplicaBesideAWarmOne_staysWithinItsRateLimit")
 {
     fleet.setReplicaFaults(0, R"({"cold_per_s":20})");
     fleet.registerReplica(0, "ready", 8s);
@@ -330,7 +330,7 @@
 
 // Guards against exceeding the rate limit of cold replicas when no warm replica is left: requests
 // above the limit are refused at once.
-TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_allReplicasCold_getWhatTheyBearAndTheRestIsRefused")
+TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_allReplicasCold_stayWithinRateLimitAndExcessIsRefused")
 {
     for (const std::size_t i : {0U, 1U}) {
         fleet.setReplicaFaults(i, R"({"cold_per_s":20})");
--- a/test/integration/PathTest.cpp
+++ b/test/integration/PathTest.cpp
@@ -75,7 +75,7 @@
 } // namespace
 
 // Guards against a request that crashes each replica that runs it and is sent to all of them.
-TEST_CASE_FIXTURE(FatalCallFixture, "fleet_replicasEndUnderACall_isHeldBackAndOthersAreServed")
+TEST_CASE_FIXTURE(FatalCallFixture, "fleet_callThatCrashesReplicas_isRefusedAndOthersAreServed")
 {
     Result<HttpAnswer> answer = call("fatal");
     for (int i = 0; i < 6; ++i) {
@@ -147,8 +147,7 @@
 
 // Guards against status 502 for a call that reached no replica: callers cannot tell from it that
 // the call did not run.
-TEST_CASE_FIXTURE(RunningFleetFixture,
-                  "fleet_noReplicaListens_callIsRefusedAsNotRunWithTimeToComeBack")
+TEST_CASE_FIXTURE(RunningFleetFixture, "fleet_noReplicaListens_callIsRefusedAsNotRunWithRetryTime")
 {
     for (std::size_t i = 0; i < 2; ++i) {
         fleet->replica(i).signal(SIGKILL);
--- a/test/integration/StandinTest.cpp
+++ b/test/integration/StandinTest.cpp
@@ -298,7 +298,7 @@
 
 // Guards against a proxy that reorders the bytes of a TCP connection when a delay is set and
 // removed, which no network does.
-TEST_CASE_FIXTURE(StandinFixture, "proxy_delayComesAndGoes_keepsTheOrderOfBytes")
+TEST_CASE_FIXTURE(StandinFixture, "proxy_delaySetAndRemoved_keepsTheByteOrder")
 {
     constexpr int Tokens = 400;
     start("engine", {"--token_ms=1"});
--- a/test/integration/TlsTest.cpp
+++ b/test/integration/TlsTest.cpp
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(TlsFixture, "tls_noAuthorityToCheckAgainst_failsAsNotRunAndNeverInTheClear")
+TEST_CASE_FIXTURE(TlsFixture, "tls_noTrustedAuthority_failsAsNotRunAndIsNotHandled")
 {
     listen(listenerFiles(Certificates::make({}, &authority)));
     const Result<HttpAnswer> answer = call(true, nullptr);
@@ -162,7 +162,7 @@
     CHECK(requests == 0);
 }
 
-TEST_CASE_FIXTURE(TlsFixture, "tls_streamCutOff_isNotTakenForWhole")
+TEST_CASE_FIXTURE(TlsFixture, "tls_incompleteStream_failsAsMayHaveRun")
 {
     listen(listenerFiles(Certificates::make({}, &authority)));
     const auto tls = clientTls(authority);
