--- a/test/integration/RequestLifeTest.cpp
+++ b/test/integration/RequestLifeTest.cpp
@@ -27,7 +27,7 @@
     return out;
 }
 
-/// The text of the tokens in a stream, in the order received.
+/// \returns the text of all tokens in \a stream, in the order received.
 std::string textOf(const std::string &stream)
 {
     constexpr std::string_view Field = "\"content\":\"";
@@ -40,7 +40,7 @@
     return out;
 }
 
-/// Three routers before one engine and one replica, each behind a proxy that can fail.
+/// Three routers with one engine and one replica, each behind a proxy that injects faults.
 struct FaultyFleetFixture
 {
     FaultyFleetFixture()
@@ -149,19 +149,20 @@
         return answer ? answer.value().body : "";
     }
 
-    struct Part
+    struct StreamResult
     {
         HttpHead head;
         std::string body;
-        bool whole = false;
+        bool complete = false;
     };
 
-    /// Sends \a call; \a atToken runs once when some tokens have come, and may end it early.
-    static Part follow(HttpCall call, const std::function<bool()> &atToken)
+    /// Sends \a call and reads its answer. \a onToken is called once, when token 5 has arrived, and
+    /// aborts the call by returning false.
+    static StreamResult readStream(HttpCall call, const std::function<bool()> &onToken)
     {
         EventLoop loop;
         HttpClient client(loop);
-        Part part;
+        StreamResult part;
         HttpCallPtr handle;
         bool reached = false;
         handle = client.send(std::move(call),
@@ -172,12 +173,12 @@
                                           if (reached || part.body.find("t5 ") == part.body.npos)
                                               return;
                                           reached = true;
-                                          if (!atToken())
+                                          if (!onToken())
                                               loop.stop();
                                       },
                               .onEnd =
                                       [&](const Result<void> &result) {
-                                          part.whole = result.has_value();
+                                          part.complete = result.has_value();
                                           loop.stop();
                                       }});
         loop.run();
@@ -187,20 +188,20 @@
     }
 
     std::unique_ptr<Fleet> fleet;
-    std::map<std::string, std::string> control; ///< Address of a proxy's faults by target.
+    std::map<std::string, std::string> control; ///< Control address of each proxy by its target.
     std::vector<std::unique_ptr<ChildProcess>> proxies;
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_connectionsGoSilent_isWholeAndRunsOnce")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_connectionsGoSilent_isCompleteAndRunsOnce")
 {
     const std::string engine = fleet->engineAddress(0);
-    const Part part = follow(chat(true), [&] {
+    const StreamResult part = readStream(chat(true), [&] {
         fault(engine, R"({"silent":true})");
         return true;
     });
-    CHECK(part.whole);
+    CHECK(part.complete);
     CHECK(textOf(part.body) == tokens(Tokens));
     CHECK(part.body.ends_with("data: [DONE]\n\n"));
     CHECK(executions(engine) == 1);
@@ -212,7 +213,7 @@
 
 TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerReconnectsElsewhere_getsTheRestOnce")
 {
-    const Part first = follow(chat(true), [] { return false; });
+    const StreamResult first = readStream(chat(true), [] { return false; });
     const std::string token(first.head.header("X-Catkinloft-Resume"));
     CAPTURE(first.head.status);
     CAPTURE(first.body);
@@ -225,9 +226,9 @@
                              {"X-Catkinloft-Resume", token},
                              {"Last-Event-ID", "2"}}});
     };
-    const auto stranger = rest(1);
-    REQUIRE(stranger);
-    CHECK(stranger.value().head.status == 404);
+    const auto otherWorkspace = rest(1);
+    REQUIRE(otherWorkspace);
+    CHECK(otherWorkspace.value().head.status == 404);
     const auto second = rest(0);
     REQUIRE(second);
     CHECK(second.value().head.status == 200);
@@ -235,9 +236,9 @@
     CHECK(executions(fleet->engineAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerLeavesForGood_isCancelledAtTheEngine")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "stream_callerDisconnectsForGood_isCancelledAtTheEngine")
 {
-    follow(chat(true), [] { return false; });
+    readStream(chat(true), [] { return false; });
     const auto cancelled = [this] {
         std::string all;
         for (std::size_t i = 0; i < 3; ++i)
@@ -253,7 +254,7 @@
     REQUIRE(first);
     CHECK(first.value().head.status == 200);
     std::optional<Result<HttpAnswer>> second;
-    // The outcome is recorded behind the answer.
+    // The outcome is recorded after the answer is sent.
     Fleet::waitFor([&] {
         second = Fleet::fetch(dispatch("key-1", 1));
         return *second && second->value().head.status == 200;
@@ -266,7 +267,7 @@
     CHECK(executions(fleet->replicaAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_answerLost_isNeverRepeatedAndToldSo")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_answerLost_isNotRetriedAndReportsOutcomeUnknown")
 {
     const std::string replica = fleet->replicaAddress(0);
     fault(replica, R"({"lose_answers":1})");
@@ -282,7 +283,7 @@
     CHECK(executions(replica) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_routerKilledAfterSending_isNeverRepeated")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_routerKilledAfterSending_isNotRetried")
 {
     EventLoop loop;
     HttpClient client(loop);
@@ -300,7 +301,7 @@
     CHECK(executions(fleet->replicaAddress(0)) == 1);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_storeDown_isRefusedUnrun")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "dispatch_storeDown_isRefusedAsNotRun")
 {
     fleet->platform("table").signal(SIGKILL);
     const auto answer = Fleet::fetch(dispatch("key-4"));
@@ -313,23 +314,23 @@
     CHECK(unkeyed.value().head.status == 200);
 }
 
-TEST_CASE_FIXTURE(FaultyFleetFixture, "router_plannedStop_cutsOffNothing")
+TEST_CASE_FIXTURE(FaultyFleetFixture, "router_plannedStop_abortsNothing")
 {
-    const Part part = follow(chat(true, 1), [&] {
+    const StreamResult part = readStream(chat(true, 1), [&] {
         fleet->router(1).signal(SIGTERM);
         Fleet::waitFor([&] {
             const auto ready =
                     Fleet::fetch({.address = fleet->routerAddress(1), .target = "/readyz"});
             return ready && ready.value().head.status == 503;
         });
-        // For a while it still serves callers that hold an older address answer.
+        // The router still serves callers that cached its address before it began to drain.
         const auto late = Fleet::fetch(dispatch("", 1));
         REQUIRE(late);
         CHECK(late.value().head.status == 200);
         CHECK(late.value().head.header("Connection") == "close");
         return true;
     });
-    REQUIRE(part.whole);
+    REQUIRE(part.complete);
     REQUIRE(textOf(part.body) == tokens(Tokens));
     CHECK(fleet->router(1).wait() == 0);
     CHECK(fleet->routerLog(1).find("\"cut_off\":0") != std::string::npos);
--- a/test/integration/SoakCheckTest.cpp
+++ b/test/integration/SoakCheckTest.cpp
@@ -9,16 +9,15 @@
 
 namespace {
 
-/// What callers saw and replicas ran in a run in which nothing went wrong; each case spoils one
-/// thing.
+/// Answers and executions of a run without violations; each case adds one violation to it.
 struct SoakCheckFixture
 {
     SoakCheckFixture()
     {
         answer("s1", "once", "s1 answered by i-1");
         answer("s2", "safe", "s2 answered by i-1");
-        ran("s1", "i-1");
-        ran("s2", "i-1");
+        addExecution("s1", "i-1");
+        addExecution("s2", "i-1");
     }
 
     void answer(const std::string &id, const std::string &route, const std::string &body)
@@ -31,7 +30,7 @@
                         .signature = standin::ReplicaStandin::signatureOf(id, body)};
     }
 
-    void ran(const std::string &id, const std::string &replica, Duration after = 0s)
+    void addExecution(const std::string &id, const std::string &replica, Duration after = 0s)
     {
         Json::Value it(Json::objectValue);
         it["id"] = id;
@@ -45,12 +44,13 @@
 
     RunHistory history() const { return {.acts = acts, .disturbances = disturbances}; }
 
-    /// A request that ends replicas runs \a after the start, sent by router \a i.
-    void ranFatal(Duration after, std::size_t i = 0)
+    /// Adds an execution of a request that crashes replicas, sent by router \a i, \a after the
+    /// start.
+    void addFatalExecution(Duration after, std::size_t i = 0)
     {
         const std::string id = "fatal-" + std::to_string(attempts.size());
         attempts[id] = {.route = "safe", .router = i, .sentAt = start};
-        ran(id, "i-" + id, after);
+        addExecution(id, "i-" + id, after);
         executions.back()["body"] = "fatal";
     }
 
@@ -74,35 +74,35 @@
 {
     SUBCASE("a call that may run once ran twice")
     {
-        ran("s1", "i-2");
+        addExecution("s1", "i-2");
     }
-    SUBCASE("it was said not to have run, and did")
+    SUBCASE("a request reported as not run did run")
     {
         attempts["s1"].status = 503;
     }
-    SUBCASE("the answer of another")
+    SUBCASE("the answer of another request")
     {
         attempts["s2"].body = "s1 answered by i-1";
     }
-    SUBCASE("a part of the answer")
+    SUBCASE("a truncated answer")
     {
         attempts["s2"].body.pop_back();
     }
-    SUBCASE("nobody sent it")
+    SUBCASE("an execution that no caller requested")
     {
-        ran("s9", "i-1");
+        addExecution("s9", "i-1");
     }
     SUBCASE("the key reached a replica")
     {
         executions[0]["key_seen"] = true;
     }
-    SUBCASE("a key that was taken away")
+    SUBCASE("a revoked key is served")
     {
         acts.push_back({.acknowledgedAt = start - 6s, .key = "k"});
         attempts.erase("s2");
         executions.pop_back();
     }
-    SUBCASE("a replica that drains")
+    SUBCASE("a draining replica gets a request")
     {
         acts.push_back({.acknowledgedAt = start - 3s, .replica = "i-1"});
         attempts.erase("s2");
@@ -110,31 +110,31 @@
     }
     SUBCASE("more replicas than the route allows")
     {
-        ran("s2", "i-2");
-        ran("s2", "i-3");
+        addExecution("s2", "i-2");
+        addExecution("s2", "i-3");
     }
-    SUBCASE("held back for what another request did")
+    SUBCASE("quarantined for the crashes of another request")
     {
         attempts["s2"].status = 503;
         attempts["s2"].body = R"({"reason":"request_quarantined"})";
         executions.pop_back();
     }
-    SUBCASE("answered without having run")
+    SUBCASE("an answer to a request that did not run")
     {
         executions.pop_back();
     }
     CHECK(broken() == 1);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_replicaSaysThatItLeaves_getsNothingFromThatRouter")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_replicaReportsLeaving_getsNothingFromThatRouter")
 {
     attempts["s2"].saysLeaving = true;
     attempts["s2"].answeredAt = start;
     attempts["s3"] = {.route = "safe", .router = 1, .sentAt = start + 3s};
-    ran("s3", "i-1", 3s);
+    addExecution("s3", "i-1", 3s);
     CHECK(broken() == 0);
     attempts["s4"] = {.route = "safe", .sentAt = start + 3s};
-    ran("s4", "i-1", 3s);
+    addExecution("s4", "i-1", 3s);
     CHECK(broken() == 1);
     disturbances = {{.router = 0, .from = start + 1s, .until = start + 2s}};
     CHECK(broken() == 0);
@@ -144,7 +144,7 @@
 {
     const auto arrive = [&](const std::string &id, Duration after, double pause) {
         attempts[id] = {.route = "safe", .sentAt = start + std::chrono::milliseconds(after / 1ms)};
-        ran(id, "i-1", after);
+        addExecution(id, "i-1", after);
         executions.back()["turned_away"] = true;
         executions.back()["pause_ms"] = pause;
     };
@@ -159,21 +159,21 @@
     CHECK(broken() == 1);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_requestThatEndsReplicas_runsThreeTimesMoreAtMost")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_requestThatCrashesReplicas_runsThreeTimesMoreAtMost")
 {
     for (int i = 0; i < 6; ++i)
-        ranFatal(i * 1s); // The third at 2 s; none more than 3 s later.
+        addFatalExecution(i * 1s); // The third runs at 2 s; none runs more than 3 s after it.
     CHECK(broken() == 0);
     for (int i = 0; i < 3; ++i)
-        ranFatal(6s);
+        addFatalExecution(6s);
     CHECK(broken() == 0);
-    ranFatal(7s, 1);
+    addFatalExecution(7s, 1);
     CHECK(broken() == 1);
     disturbances = {{.router = 1, .from = start + 1s, .until = start + 5s}};
     CHECK(broken() == 0);
 }
 
-TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_wrongAnswer_lineSaysWhatTheCallerHadAndWhereItRan")
+TEST_CASE_FIXTURE(SoakCheckFixture, "soakCheck_wrongAnswer_lineNamesTheAnswerAndWhereItRan")
 {
     attempts["s2"].body = "s2 answered";
     executions[1]["resumed"] = true;
--- a/test/integration/StatusTest.cpp
+++ b/test/integration/StatusTest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-struct AskedFleetFixture
+struct StatusFleetFixture
 {
-    AskedFleetFixture()
+    StatusFleetFixture()
     {
         standin::Deployment small = standin::deploymentNamed("fraserlight");
         small.engines = 2;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(AskedFleetFixture, "status_afterRequests_showsUpstreamsAndRefusals")
+TEST_CASE_FIXTURE(StatusFleetFixture, "status_afterRequests_showsUpstreamsAndRefusals")
 {
     const Result<HttpAnswer> chat = Fleet::fetch(
             {.address = fleet->routerAddress(0),
@@ -55,12 +55,12 @@
         CHECK(json.body.find(it) != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(AskedFleetFixture, "status_page_asksForTheOperatorsKeyAsPassword")
+TEST_CASE_FIXTURE(StatusFleetFixture, "status_page_requiresTheOperatorKeyAsPassword")
 {
     CHECK(get("/status", "").head.status == 401);
     CHECK(get("/status", "Basic !").head.status == 401);
     CHECK(get("/status", "Bearer " + Fleet::workspaceKey(0)).head.status == 401);
-    // "operator:key-of-the-operator"
+    // Base64 of "operator:key-of-the-operator".
     const HttpAnswer page = get("/status", "Basic b3BlcmF0b3I6a2V5LW9mLXRoZS1vcGVyYXRvcg==");
     CHECK(page.head.status == 200);
     CHECK(page.body.find("<caption>Routers</caption>") != std::string::npos);
