--- a/fuzz/FuzzEntry.cpp
+++ b/fuzz/FuzzEntry.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// What was decoded must survive its own encoding.
-void roundTripBeat(const std::string &text)
+void roundTripHeartbeat(const std::string &text)
 {
     static HeartbeatCodec codec;
     const Result<RouterHeartbeat> first = codec.decode(text);
@@ -38,11 +38,11 @@
     if (record.slots < 1 || record.startedAt < 0 || record.service.empty()
         || !parseEndpoint(record.address))
         std::abort();
-    const Result<ReplicaUpdate> told =
+    const Result<ReplicaUpdate> decoded =
             ReplicaUpdate::decode(ReplicaUpdate{.replicas = {record}}.encode());
-    if (!told || told.value().replicas.size() != 1
-        || told.value().replicas.front().incarnation() != record.incarnation()
-        || told.value().replicas.front().address != record.address)
+    if (!decoded || decoded.value().replicas.size() != 1
+        || decoded.value().replicas.front().incarnation() != record.incarnation()
+        || decoded.value().replicas.front().address != record.address)
         std::abort();
 }
 
@@ -78,7 +78,7 @@
     if (data[0] == 'r')
         roundTripRouterRow(text);
     else if (data[0] % 3 == 0)
-        roundTripBeat(text);
+        roundTripHeartbeat(text);
     else if (data[0] % 3 == 1)
         readReplicaEntry(text);
     else
--- a/soak/SoakCheck.cpp
+++ b/soak/SoakCheck.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 
 /// A key that was taken away runs nothing that was sent later than this.
-constexpr Duration KeyLimit = 5s;
+constexpr Duration KeyRevocationLimit = 5s;
 
 /// A draining replica gets nothing later than this, with a margin for the stand-in's own clock.
 constexpr Duration DrainLimit = 2s + 200ms;
@@ -26,17 +26,17 @@
 constexpr Duration StableWindow = 3s;
 
 /// Requests that may reach a pausing replica from one router, later than the grace after its word.
-constexpr std::ptrdiff_t MaxInPause = 2;
+constexpr std::ptrdiff_t MaxRequestsInPause = 2;
 constexpr auto PauseGrace = 500ms;
 
 /// A failure domain gets nothing later than this after its evacuation was acknowledged, with a
 /// margin for the stand-in's own clock.
 constexpr Duration EvacuationLimit = 2s + 200ms;
 
-constexpr std::size_t MaxLines = 20;
-constexpr std::size_t MaxBody = 400; ///< Bytes of an answer that are printed.
+constexpr std::size_t MaxReportedLines = 20;
+constexpr std::size_t MaxPrintedBody = 400; ///< Bytes of an answer that are printed.
 
-bool isOnce(const std::string &route)
+bool runsAtMostOnce(const std::string &route)
 {
     return route == "once" || route == "whole";
 }
@@ -51,7 +51,7 @@
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-std::string wholeStream()
+std::string completeStream()
 {
     std::string out;
     for (int i = 1; i <= 6; ++i)
@@ -59,10 +59,10 @@
     return out;
 }
 
-bool isRightAnswer(const std::string &id, const Attempt &it)
+bool isExpectedAnswer(const std::string &id, const Attempt &it)
 {
     if (isStream(it.route))
-        return it.body == wholeStream()
+        return it.body == completeStream()
                 && it.signature == standin::ReplicaStandin::signatureOf(id, {});
     return it.body.starts_with(id + " answered by ")
             && it.signature == standin::ReplicaStandin::signatureOf(id, it.body);
@@ -76,7 +76,7 @@
     std::string out =
             fmt::format("route {}, sent at {} ms, status {}, signature {}, body {}", attempt.route,
                         sentAt, attempt.status, jsonQuoted(attempt.signature),
-                        jsonQuoted(attempt.body.substr(0, MaxBody)));
+                        jsonQuoted(attempt.body.substr(0, MaxPrintedBody)));
     for (const Json::Value &it : executions) {
         if (it["id"].asString() == id)
             out += fmt::format(", {} at {} {} ms later", it["resumed"].asBool() ? "resumed" : "ran",
@@ -85,7 +85,7 @@
     return out;
 }
 
-bool isInTouch(std::size_t router, WallTime at, const RunHistory &history)
+bool isUndisturbed(std::size_t router, WallTime at, const RunHistory &history)
 {
     return std::none_of(history.disturbances.begin(), history.disturbances.end(),
                         [&](const RouterDisturbance &it) {
@@ -96,7 +96,7 @@
 }
 
 /// \returns whether \a router ran on without a pause from \a from to \a to.
-bool ranThrough(std::size_t router, WallTime from, WallTime to, const RunHistory &history)
+bool ranWithoutPause(std::size_t router, WallTime from, WallTime to, const RunHistory &history)
 {
     return std::none_of(history.disturbances.begin(), history.disturbances.end(),
                         [&](const RouterDisturbance &it) {
@@ -114,20 +114,21 @@
                   const std::vector<Json::Value> &arrivals, const RunHistory &history,
                   const std::function<void(std::string)> &broken)
 {
-    for (const auto &[id, told] : attempts) {
-        if (!told.saysLeaving)
+    for (const auto &[id, leavingAnswer] : attempts) {
+        if (!leavingAnswer.saysLeaving)
             continue;
         for (const Json::Value &it : arrivals) {
             const auto attempt = attempts.find(it["id"].asString());
-            if (attempt == attempts.end() || attempt->second.router != told.router
-                || !told.body.ends_with(" answered by " + it["replica"].asString())
-                || attempt->second.sentAt <= told.answeredAt + DrainLimit
-                || !ranThrough(told.router, told.answeredAt, timeOf(it), history))
+            if (attempt == attempts.end() || attempt->second.router != leavingAnswer.router
+                || !leavingAnswer.body.ends_with(" answered by " + it["replica"].asString())
+                || attempt->second.sentAt <= leavingAnswer.answeredAt + DrainLimit
+                || !ranWithoutPause(leavingAnswer.router, leavingAnswer.answeredAt, timeOf(it),
+                                    history))
                 continue;
             broken(fmt::format(
                     "{} reached replica {} {} ms after router {} had passed on that it leaves",
-                    attempt->first, it["replica"].asString(), (timeOf(it) - told.answeredAt) / 1ms,
-                    told.router));
+                    attempt->first, it["replica"].asString(),
+                    (timeOf(it) - leavingAnswer.answeredAt) / 1ms, leavingAnswer.router));
         }
     }
 }
@@ -137,22 +138,22 @@
                  const std::vector<Json::Value> &arrivals, const RunHistory &history,
                  const std::function<void(std::string)> &broken)
 {
-    for (const Json::Value &asked : arrivals) {
-        const auto first = attempts.find(asked["id"].asString());
-        if (asked["pause_ms"].asDouble() <= 0 || first == attempts.end())
+    for (const Json::Value &pauseRequest : arrivals) {
+        const auto first = attempts.find(pauseRequest["id"].asString());
+        if (pauseRequest["pause_ms"].asDouble() <= 0 || first == attempts.end())
             continue;
         const std::size_t router = first->second.router;
-        const WallTime from = timeOf(asked) + PauseGrace;
-        const WallTime until =
-                timeOf(asked) + std::chrono::milliseconds(asked["pause_ms"].asInt64());
+        const WallTime from = timeOf(pauseRequest) + PauseGrace;
+        const WallTime until = timeOf(pauseRequest)
+                + std::chrono::milliseconds(pauseRequest["pause_ms"].asInt64());
         const auto n = std::count_if(arrivals.begin(), arrivals.end(), [&](const Json::Value &it) {
             const auto attempt = attempts.find(it["id"].asString());
-            return it["replica"] == asked["replica"] && attempt != attempts.end()
+            return it["replica"] == pauseRequest["replica"] && attempt != attempts.end()
                     && attempt->second.router == router && timeOf(it) > from && timeOf(it) < until;
         });
-        if (n > MaxInPause && ranThrough(router, timeOf(asked), until, history))
+        if (n > MaxRequestsInPause && ranWithoutPause(router, timeOf(pauseRequest), until, history))
             broken(fmt::format("{} requests reached replica {} from router {} in a pause", n,
-                               asked["replica"].asString(), router));
+                               pauseRequest["replica"].asString(), router));
     }
 }
 
@@ -173,7 +174,7 @@
     return static_cast<std::size_t>(std::count_if(runs.begin(), runs.end(), [&](const auto &it) {
         const auto attempt = attempts.find(it.second);
         return it.first > from && attempt != attempts.end()
-                && isInTouch(attempt->second.router, it.first, history);
+                && isUndisturbed(attempt->second.router, it.first, history);
     }));
 }
 
@@ -186,10 +187,10 @@
         for (const Json::Value &it : arrivals) {
             const auto attempt = attempts.find(it["id"].asString());
             const WallTime at = timeOf(it);
-            if (!evacuation.calm || attempt == attempts.end()
+            if (!evacuation.controlStable || attempt == attempts.end()
                 || at <= evacuation.acknowledgedAt + EvacuationLimit || at >= evacuation.endedAt
                 || history.domainOf(it["replica"].asString()) != evacuation.domain
-                || !isInTouch(attempt->second.router, at, history))
+                || !isUndisturbed(attempt->second.router, at, history))
                 continue;
             broken(fmt::format("{} reached {} in {} {} ms after its evacuation", attempt->first,
                                it["replica"].asString(), evacuation.domain,
@@ -202,7 +203,7 @@
 void checkColdReplicas(const std::vector<Json::Value> &arrivals, const RunHistory &history,
                        const std::function<void(std::string)> &broken)
 {
-    for (const ColdTime &cold : history.coldTimes) {
+    for (const ColdPeriod &cold : history.coldPeriods) {
         std::vector<WallTime> times;
         for (const Json::Value &it : arrivals) {
             const WallTime at = timeOf(it);
@@ -210,7 +211,7 @@
                 times.push_back(at);
         }
         std::sort(times.begin(), times.end());
-        const auto n = static_cast<std::size_t>(cold.bearable);
+        const auto n = static_cast<std::size_t>(cold.maxPerSecond);
         for (std::size_t i = n; i < times.size(); ++i) {
             if (times[i] - times[i - n] < 1s) {
                 broken(fmt::format("cold replica {} got more than {} requests in one second",
@@ -231,7 +232,7 @@
     std::erase_if(executions, [](const Json::Value &it) { return it["turned_away"].asBool(); });
     std::vector<std::string> out;
     const auto broken = [&](std::string line) {
-        if (out.size() < MaxLines)
+        if (out.size() < MaxReportedLines)
             out.push_back(std::move(line));
     };
     std::map<std::string, std::set<std::string>> ranAt;
@@ -248,30 +249,32 @@
         if (it["key_seen"].asBool() || it["workspace"].asString() != "archive")
             broken(fmt::format("{} reached a replica with its key or without its workspace", id));
         const WallTime at = timeOf(it);
-        for (const OperatorAct &act : history.acts) {
-            if (!act.key.empty() && attempt->second.key == act.key
-                && attempt->second.sentAt > act.acknowledgedAt + KeyLimit)
+        for (const OperatorAct &action : history.acts) {
+            if (!action.key.empty() && attempt->second.key == action.key
+                && attempt->second.sentAt > action.acknowledgedAt + KeyRevocationLimit)
                 broken(fmt::format("{} ran with a key that was taken away", id));
-            if (act.calm && !act.replica.empty() && it["replica"].asString() == act.replica
-                && at > act.acknowledgedAt + DrainLimit)
+            if (action.controlStable && !action.replica.empty()
+                && it["replica"].asString() == action.replica
+                && at > action.acknowledgedAt + DrainLimit)
                 broken(fmt::format("{} reached draining replica {} {} ms after the word", id,
-                                   act.replica, (at - act.acknowledgedAt) / 1ms));
+                                   action.replica, (at - action.acknowledgedAt) / 1ms));
         }
     }
     for (const auto &[id, it] : attempts) {
         const int n = runs.contains(id) ? runs.at(id) : 0;
-        if (isOnce(it.route) && n > 1)
+        if (runsAtMostOnce(it.route) && n > 1)
             broken(fmt::format("{} ran {} times ({})", id, n, describe(id, it, executions)));
         if (n > 0 && ranAt.at(id).size() > 2)
             broken(fmt::format("{} ran on {} replicas ({})", id, ranAt.at(id).size(),
                                describe(id, it, executions)));
-        if (isOnce(it.route) && promisesNotRun(it.status) && n > 0)
+        if (runsAtMostOnce(it.route) && promisesNotRun(it.status) && n > 0)
             broken(fmt::format("{} was answered {} and ran ({})", id, it.status,
                                describe(id, it, executions)));
-        if (it.status == 200 && !isRightAnswer(id, it))
+        if (it.status == 200 && !isExpectedAnswer(id, it))
             broken(fmt::format("{} got another answer than its own, or part of it ({})", id,
                                describe(id, it, executions)));
-        if (!id.starts_with(FatalId) && it.body.find("request_quarantined") != std::string::npos)
+        if (!id.starts_with(FatalIdPrefix)
+            && it.body.find("request_quarantined") != std::string::npos)
             broken(fmt::format("{} was held back for what another request did", id));
         if (it.status == 200 && n == 0)
             broken(fmt::format("{} was answered and did not run ({})", id,
--- a/soak/SoakCheck.h
+++ b/soak/SoakCheck.h
@@ -16,7 +16,7 @@
     WallTime acknowledgedAt = {};
     std::string key = {}; ///< Taken away; empty: the act concerns a replica.
     std::string replica = {}; ///< Told that it drains.
-    bool calm = true; ///< Nothing disturbed routers or store around the act.
+    bool controlStable = true; ///< Nothing disturbed routers or store around the act.
 };
 
 /// \brief A time in which nothing might be sent to the replicas of one failure domain.
@@ -25,16 +25,16 @@
     std::string domain = {};
     WallTime acknowledgedAt = {};
     WallTime endedAt = WallTime::max();
-    bool calm = true; ///< \sa OperatorAct::calm
+    bool controlStable = true; ///< \sa OperatorAct::controlStable
 };
 
 /// \brief A time in which a replica was cold and its entry had told so for a while.
-struct ColdTime
+struct ColdPeriod
 {
     std::string replica = {};
     WallTime from = {};
     WallTime until = {};
-    double bearable = 0; ///< Requests in one second, from all routers together.
+    double maxPerSecond = 0; ///< Requests in one second, from all routers together.
 };
 
 /// \brief A time in which a router was killed, stopped or paused, until it ran again.
@@ -51,7 +51,7 @@
     std::vector<OperatorAct> acts = {};
     std::vector<RouterDisturbance> disturbances = {};
     std::vector<Evacuation> evacuations = {};
-    std::vector<ColdTime> coldTimes = {};
+    std::vector<ColdPeriod> coldPeriods = {};
     std::function<std::string(const std::string &replica)> domainOf = {}; ///< By the replica's id.
 };
 
--- a/soak/SoakLoad.cpp
+++ b/soak/SoakLoad.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 /// Requests between two questions to the directory.
-constexpr std::size_t AskEvery = 60;
+constexpr std::size_t RequestsPerResolve = 60;
 
 } // namespace
 
@@ -24,7 +24,7 @@
       // Not drawn, so that the rest of a run is the same with and without.
       m_fatalTimer(m_options.loop, [this] {
           send({"safe", "POST", "/safe/a", standin::FatalBody},
-               fmt::format("{}{}", FatalId, m_fatalNumber),
+               fmt::format("{}{}", FatalIdPrefix, m_fatalNumber),
                m_fatalNumber % m_options.fleet.routerCount());
           ++m_fatalNumber;
       })
@@ -33,7 +33,7 @@
         m_addresses.push_back(m_options.fleet.callerAddress(i));
 }
 
-void SoakLoad::askDirectory()
+void SoakLoad::resolveRouters()
 {
     const std::size_t i = below(m_options.random, m_options.fleet.routerCount());
     m_client.fetch({.address = m_options.fleet.directoryAddress(i),
@@ -59,7 +59,7 @@
         m_fatalTimer.stop();
 }
 
-std::size_t SoakLoad::routerAt(const std::string &address) const
+std::size_t SoakLoad::routerIndexOf(const std::string &address) const
 {
     for (std::size_t i = 0; i < m_options.fleet.routerCount(); ++i) {
         if (m_options.fleet.callerAddress(i) == address)
@@ -70,26 +70,27 @@
 
 void SoakLoad::send()
 {
-    static constexpr std::array Shapes = {
-            Shape{"safe", "GET", "/safe/a", ""},
-            Shape{"once", "POST", "/once/a", "body"},
-            Shape{"stream", "GET", "/stream/a?events=6", ""},
-            Shape{"whole", "GET", "/whole/a?events=6", ""},
+    static constexpr std::array RequestTemplates = {
+            RequestTemplate{"safe", "GET", "/safe/a", ""},
+            RequestTemplate{"once", "POST", "/once/a", "body"},
+            RequestTemplate{"stream", "GET", "/stream/a?events=6", ""},
+            RequestTemplate{"whole", "GET", "/whole/a?events=6", ""},
     };
-    if (++m_number % AskEvery == 0)
-        askDirectory();
-    const Shape &shape = Shapes[below(m_options.random, Shapes.size())];
+    if (++m_number % RequestsPerResolve == 0)
+        resolveRouters();
+    const RequestTemplate &shape =
+            RequestTemplates[below(m_options.random, RequestTemplates.size())];
     const std::string &address = m_addresses[below(m_options.random, m_addresses.size())];
-    send(shape, fmt::format("s{}", m_number), routerAt(address));
+    send(shape, fmt::format("s{}", m_number), routerIndexOf(address));
 }
 
-void SoakLoad::send(const Shape &shape, const std::string &id, std::size_t router)
+void SoakLoad::send(const RequestTemplate &shape, const std::string &id, std::size_t router)
 {
     m_attempts[id] = {.route = shape.route,
                       .key = m_key,
                       .router = router,
                       .sentAt = m_options.loop.wallNow()};
-    ++m_open;
+    ++m_inProgress;
     m_client.fetch({.address = m_options.fleet.callerAddress(router),
                     .method = shape.method,
                     .target = shape.target,
@@ -100,7 +101,7 @@
                     .body = std::string(shape.body),
                     .timeout = 3500ms},
                    [this, id](const Result<HttpAnswer> &answer) {
-                       --m_open;
+                       --m_inProgress;
                        if (!answer)
                            return;
                        Attempt &it = m_attempts[id];
--- a/soak/SoakLoad.h
+++ b/soak/SoakLoad.h
@@ -15,7 +15,7 @@
 namespace catkinloft::soak {
 
 /// Ids of the requests that end replicas begin so.
-inline constexpr std::string_view FatalId = "fatal-";
+inline constexpr std::string_view FatalIdPrefix = "fatal-";
 
 /// \brief What a caller saw of one attempt.
 struct Attempt
@@ -60,13 +60,13 @@
     /// \brief Sets the key that callers show from now on.
     void setKey(const std::string &key) { m_key = key; }
 
-    std::size_t inProgress() const { return m_open; }
+    std::size_t inProgress() const { return m_inProgress; }
 
     /// \returns all attempts by id.
     const std::map<std::string, Attempt> &attempts() const { return m_attempts; }
 
 private:
-    struct Shape
+    struct RequestTemplate
     {
         const char *route;
         const char *method;
@@ -75,9 +75,9 @@
     };
 
     void send();
-    void send(const Shape &shape, const std::string &id, std::size_t router);
-    void askDirectory();
-    std::size_t routerAt(const std::string &address) const;
+    void send(const RequestTemplate &shape, const std::string &id, std::size_t router);
+    void resolveRouters();
+    std::size_t routerIndexOf(const std::string &address) const;
 
     Options m_options;
     HttpClient m_client;
@@ -86,7 +86,7 @@
     std::string m_key = standin::EntryFleet::Key;
     std::vector<std::string> m_addresses;
     std::map<std::string, Attempt> m_attempts;
-    std::size_t m_open = 0;
+    std::size_t m_inProgress = 0;
     std::size_t m_number = 0;
     std::size_t m_fatalNumber = 0;
 };
--- a/soak/SoakRun.cpp
+++ b/soak/SoakRun.cpp
@@ -17,14 +17,14 @@
 constexpr Duration SettleTime = 6s;
 
 /// How long a replica is away that a request has ended, and how often that is looked at.
-constexpr Duration ReplicaAway = 2s;
-constexpr Duration RevivalCheck = 250ms;
+constexpr Duration ReplicaRestartDelay = 2s;
+constexpr Duration RestartCheckInterval = 250ms;
 
 /// Between two requests that end replicas.
 constexpr Duration FatalInterval = 300ms;
 
 /// Promises with a time bound hold for what was calm for so long before.
-constexpr Duration CalmTime = 3s;
+constexpr Duration ControlSettleTime = 3s;
 
 constexpr int Probes = 12; ///< Requests to each router at the end, of which most must be served.
 
@@ -32,7 +32,7 @@
 constexpr std::uint64_t DomainSeed = 0x5EED;
 
 /// Until all routers have read the entry of a replica that has turned cold.
-constexpr std::chrono::milliseconds ColdKnown = 2s;
+constexpr std::chrono::milliseconds ColdPropagationTime = 2s;
 
 /// \returns a folder in \a parent for the logs of \a seed, apart from those of its earlier plays.
 std::filesystem::path unusedFolder(const std::filesystem::path &parent, std::uint64_t seed)
@@ -76,8 +76,8 @@
     m_fleet.start();
     m_load.emplace(SoakLoad::Options{.loop = m_loop, .fleet = m_fleet, .random = m_random});
     m_load->start();
-    m_revival = std::make_unique<Timer>(m_loop, [this] { reviveReplicas(); });
-    m_revival->startRepeating(RevivalCheck);
+    m_restartTimer = std::make_unique<Timer>(m_loop, [this] { restartExitedReplicas(); });
+    m_restartTimer->startRepeating(RestartCheckInterval);
     Duration last = m_options.length;
     for (const Fault &it : out.faults) {
         m_loop.after(it.at, [this, it] { begin(it); });
@@ -104,9 +104,9 @@
     m_loop.after(4s, [this] { m_loop.stop(); });
 }
 
-bool SoakRun::isCalm() const
+bool SoakRun::isControlStable() const
 {
-    return m_loop.now() > m_disturbedUntil + CalmTime;
+    return m_loop.now() > m_disturbedUntil + ControlSettleTime;
 }
 
 void SoakRun::begin(const Fault &fault)
@@ -114,21 +114,23 @@
     if (disturbsControl(fault.kind)) {
         m_disturbedUntil = std::max(m_disturbedUntil, m_loop.now() + fault.length);
         for (OperatorAct &it : m_history.acts) // Their bounds may not have run out yet.
-            it.calm = it.calm && m_loop.wallNow() > it.acknowledgedAt + CalmTime;
+            it.controlStable =
+                    it.controlStable && m_loop.wallNow() > it.acknowledgedAt + ControlSettleTime;
         for (Evacuation &it : m_history.evacuations)
-            it.calm = it.calm && m_loop.wallNow() > it.acknowledgedAt + CalmTime;
+            it.controlStable =
+                    it.controlStable && m_loop.wallNow() > it.acknowledgedAt + ControlSettleTime;
     }
     switch (fault.kind) {
     case FaultKind::RouterKill:
-        noteDisturbed(fault.target);
+        beginDisturbance(fault.target);
         m_fleet.router(fault.target).signal(SIGKILL);
         break;
     case FaultKind::RouterTerm:
-        noteDisturbed(fault.target);
+        beginDisturbance(fault.target);
         m_fleet.router(fault.target).signal(SIGTERM);
         break;
     case FaultKind::RouterPause:
-        noteDisturbed(fault.target);
+        beginDisturbance(fault.target);
         m_fleet.router(fault.target).signal(SIGSTOP);
         break;
     case FaultKind::FatalRequest:
@@ -159,11 +161,11 @@
         m_fleet.setStoreProxyFaults(fault.target, R"({"silent":true})");
         break;
     case FaultKind::ReplicaKill:
-        ++m_away[fault.target];
+        ++m_replicaOutages[fault.target];
         m_fleet.replica(fault.target).signal(SIGKILL);
         break;
     case FaultKind::ReplicaPause:
-        ++m_away[fault.target];
+        ++m_replicaOutages[fault.target];
         m_fleet.replica(fault.target).signal(SIGSTOP);
         break;
     case FaultKind::ReplicaFails:
@@ -180,10 +182,10 @@
         m_fleet.registerReplica(fault.target, "draining");
         m_history.acts.push_back({.acknowledgedAt = m_loop.wallNow(),
                                   .replica = m_fleet.replicaId(fault.target),
-                                  .calm = isCalm()});
+                                  .controlStable = isControlStable()});
         break;
     case FaultKind::KeyTaken:
-        takeKey();
+        revokeKey();
         break;
     case FaultKind::ConfigChange:
         m_extraRoute = !m_extraRoute;
@@ -193,7 +195,7 @@
         evacuate(fault.target);
         break;
     case FaultKind::ReplicaTurnsCold:
-        turnCold(fault);
+        makeCold(fault);
         break;
     }
 }
@@ -201,8 +203,9 @@
 void SoakRun::evacuate(std::size_t i)
 {
     m_fleet.evacuate(m_fleet.domainOf(i));
-    m_history.evacuations.push_back(
-            {.domain = m_fleet.domainOf(i), .acknowledgedAt = m_loop.wallNow(), .calm = isCalm()});
+    m_history.evacuations.push_back({.domain = m_fleet.domainOf(i),
+                                     .acknowledgedAt = m_loop.wallNow(),
+                                     .controlStable = isControlStable()});
 }
 
 void SoakRun::endEvacuation(std::size_t i)
@@ -214,18 +217,18 @@
     m_fleet.endEvacuation(m_fleet.domainOf(i));
 }
 
-void SoakRun::turnCold(const Fault &fault)
+void SoakRun::makeCold(const Fault &fault)
 {
     m_fleet.registerReplica(fault.target, "ready", fault.length);
     const WallTime now = m_loop.wallNow();
     const auto length = std::chrono::duration_cast<std::chrono::milliseconds>(fault.length);
-    m_history.coldTimes.push_back({.replica = m_fleet.replicaId(fault.target),
-                                   .from = now + ColdKnown,
-                                   .until = now + length,
-                                   .bearable = standin::EntryFleet::ColdPerSecond});
+    m_history.coldPeriods.push_back({.replica = m_fleet.replicaId(fault.target),
+                                     .from = now + ColdPropagationTime,
+                                     .until = now + length,
+                                     .maxPerSecond = standin::EntryFleet::ColdPerSecond});
 }
 
-void SoakRun::takeKey()
+void SoakRun::revokeKey()
 {
     const std::string old = std::exchange(m_key, fmt::format("key-{}", ++m_keys));
     m_fleet.writeConfig({m_key}, m_extraRoute);
@@ -237,34 +240,34 @@
 void SoakRun::setReplicaFaults(std::size_t i, const std::string &faults)
 {
     // One that is paused or not there takes no orders, and its return waits for this thread.
-    if (m_away[i] > 0 || !m_fleet.setReplicaFaults(i, faults))
-        m_faultsOnReturn[i] = faults;
+    if (m_replicaOutages[i] > 0 || !m_fleet.setReplicaFaults(i, faults))
+        m_pendingFaults[i] = faults;
 }
 
-void SoakRun::replicaReturned(std::size_t i)
+void SoakRun::endReplicaOutage(std::size_t i)
 {
-    if (--m_away[i] > 0)
+    if (--m_replicaOutages[i] > 0)
         return;
-    if (const auto it = m_faultsOnReturn.extract(i))
+    if (const auto it = m_pendingFaults.extract(i))
         m_fleet.setReplicaFaults(i, it.mapped());
 }
 
-void SoakRun::startRouterAgain(std::size_t i)
+void SoakRun::restartRouter(std::size_t i)
 {
     if (m_fleet.router(i).isRunning()) {
-        m_loop.after(200ms, [this, i] { startRouterAgain(i); });
+        m_loop.after(200ms, [this, i] { restartRouter(i); });
         return;
     }
     m_fleet.startRouter(i);
-    noteUndisturbed(i);
+    endDisturbance(i);
 }
 
-void SoakRun::noteDisturbed(std::size_t router)
+void SoakRun::beginDisturbance(std::size_t router)
 {
     m_history.disturbances.push_back({.router = router, .from = m_loop.wallNow()});
 }
 
-void SoakRun::noteUndisturbed(std::size_t router)
+void SoakRun::endDisturbance(std::size_t router)
 {
     for (RouterDisturbance &it : m_history.disturbances) {
         if (it.router == router && it.until == WallTime::max())
@@ -272,13 +275,13 @@
     }
 }
 
-void SoakRun::reviveReplicas()
+void SoakRun::restartExitedReplicas()
 {
     for (std::size_t i = 0; i < m_fleet.replicaCount(); ++i) {
-        if (m_away[i] > 0 || !m_fleet.hasExited(i, ReplicaAway))
+        if (m_replicaOutages[i] > 0 || !m_fleet.hasExited(i, ReplicaRestartDelay))
             continue;
         m_fleet.restartReplica(i);
-        if (const auto it = m_faultsOnReturn.extract(i))
+        if (const auto it = m_pendingFaults.extract(i))
             m_fleet.setReplicaFaults(i, it.mapped());
     }
 }
@@ -289,11 +292,11 @@
     case FaultKind::RouterKill:
     case FaultKind::RouterTerm:
         m_fleet.router(fault.target).signal(SIGCONT);
-        startRouterAgain(fault.target);
+        restartRouter(fault.target);
         break;
     case FaultKind::RouterPause:
         m_fleet.router(fault.target).signal(SIGCONT);
-        noteUndisturbed(fault.target);
+        endDisturbance(fault.target);
         break;
     case FaultKind::FatalRequest:
         m_load->sendFatal(Duration::zero());
@@ -311,7 +314,7 @@
         break;
     case FaultKind::ReplicaKill:
         m_fleet.restartReplica(fault.target);
-        replicaReturned(fault.target);
+        endReplicaOutage(fault.target);
         break;
     case FaultKind::ReplicaDrain:
     case FaultKind::ReplicaSaysLeaving:
@@ -319,7 +322,7 @@
         break;
     case FaultKind::ReplicaPause:
         m_fleet.replica(fault.target).signal(SIGCONT);
-        replicaReturned(fault.target);
+        endReplicaOutage(fault.target);
         break;
     case FaultKind::ReplicaFails:
         setReplicaFaults(fault.target, "{}");
--- a/soak/SoakRun.h
+++ b/soak/SoakRun.h
@@ -41,17 +41,17 @@
 private:
     void begin(const Fault &fault);
     void end(const Fault &fault);
-    void startRouterAgain(std::size_t i);
-    void noteDisturbed(std::size_t router);
-    void noteUndisturbed(std::size_t router);
-    void reviveReplicas();
+    void restartRouter(std::size_t i);
+    void beginDisturbance(std::size_t router);
+    void endDisturbance(std::size_t router);
+    void restartExitedReplicas();
     void setReplicaFaults(std::size_t i, const std::string &faults);
-    void replicaReturned(std::size_t i);
-    void takeKey();
+    void endReplicaOutage(std::size_t i);
+    void revokeKey();
     void evacuate(std::size_t i);
     void endEvacuation(std::size_t i);
-    void turnCold(const Fault &fault);
-    bool isCalm() const;
+    void makeCold(const Fault &fault);
+    bool isControlStable() const;
     void finish();
     std::vector<std::string> probe();
     void keepLogs() const;
@@ -62,11 +62,11 @@
     RandomSource m_random;
     std::optional<SoakLoad> m_load;
     RunHistory m_history;
-    std::unique_ptr<Timer> m_revival; ///< Starts replicas anew that have ended by themselves.
+    std::unique_ptr<Timer> m_restartTimer; ///< Starts replicas anew that have ended by themselves.
     std::string m_key = standin::EntryFleet::Key;
     int m_keys = 0;
-    std::map<std::size_t, int> m_away; ///< Pauses and kills in progress, by replica.
-    std::map<std::size_t, std::string> m_faultsOnReturn; ///< Ordered while it was away.
+    std::map<std::size_t, int> m_replicaOutages; ///< Pauses and kills in progress, by replica.
+    std::map<std::size_t, std::string> m_pendingFaults; ///< Ordered while it was away.
     bool m_extraRoute = false;
     TimePoint m_disturbedUntil; ///< Routers or store; promises with a time bound wait for calm.
 };
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-struct Play
+struct RunPlan
 {
     std::uint64_t seed = 1;
     Duration length = {}; ///< While faults begin.
@@ -32,9 +32,9 @@
     bool withDomainFaults = true;
 };
 
-std::vector<Play> plays()
+std::vector<RunPlan> runPlans()
 {
-    std::vector<Play> out;
+    std::vector<RunPlan> out;
     std::ifstream file(FLAGS_seeds);
     for (std::string line; std::getline(file, line);) {
         if (line.empty() || line.front() == '#')
@@ -53,7 +53,7 @@
     return out;
 }
 
-bool play(const Play &it, const std::string &binaries)
+bool execute(const RunPlan &it, const std::string &binaries)
 {
     SoakRun run({.binaries = binaries,
                  .seed = it.seed,
@@ -89,8 +89,8 @@
             std::filesystem::canonical("/proc/self/exe").parent_path().string();
     std::size_t passed = 0;
     std::size_t failed = 0;
-    for (const auto &it : catkinloft::soak::plays())
-        ++(catkinloft::soak::play(it, binaries) ? passed : failed);
+    for (const auto &it : catkinloft::soak::runPlans())
+        ++(catkinloft::soak::execute(it, binaries) ? passed : failed);
     fmt::print("soak: {} passed, {} failed\n", passed, failed);
     return failed == 0 ? 0 : 1;
 }
