--- a/fuzz/FuzzEntry.cpp
+++ b/fuzz/FuzzEntry.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// What was decoded must survive its own encoding.
+/// A decoded heartbeat must be unchanged after it is encoded and decoded again.
 void roundTripHeartbeat(const std::string &text)
 {
     static HeartbeatCodec codec;
@@ -28,7 +28,8 @@
         std::abort();
 }
 
-/// An entry of any writer names a replica that requests can be sent to, or none.
+/// A replica entry, whoever wrote it, must decode to a replica that requests can be sent to, or be
+/// rejected.
 void readReplicaEntry(const std::string &text)
 {
     const Result<ReplicaRecord> it = platform::decodeReplicaEntry("i-1", text);
--- a/fuzz/FuzzPeer.cpp
+++ b/fuzz/FuzzPeer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// What was decoded must survive its own encoding.
+/// A decoded message must be unchanged after it is encoded and decoded again.
 void roundTrip(PeerCodec &codec, const std::string &text)
 {
     const Result<PeerMessage> first = codec.decode(text);
@@ -37,7 +37,7 @@
         const ManualClock clock;
         PeerGuard guard({.clock = clock, .self = "r", .keys = {{"k", "a-secret-of-the-fuzzer"}}});
         if (guard.open(text).fault == PeerFault::None)
-            std::abort(); // Nobody guesses a key.
+            std::abort(); // The input cannot carry a valid MAC.
     } else {
         (void)config_rows::decode(text);
     }
--- a/fuzz/FuzzRequest.cpp
+++ b/fuzz/FuzzRequest.cpp
@@ -25,7 +25,8 @@
     return it;
 }
 
-/// The first byte of the input says what the rest is.
+/// Runs IdentifyFilter on a request whose path and headers are the first line of \a text and whose
+/// body is the rest.
 void identify(std::string_view text)
 {
     const std::size_t mark = text.find('\n');
--- a/soak/SoakCheck.cpp
+++ b/soak/SoakCheck.cpp
@@ -15,22 +15,24 @@
 
 using namespace std::chrono_literals;
 
-/// A key that was taken away runs nothing that was sent later than this.
+/// A request with a revoked key that is sent later than this after the revocation must not run.
 constexpr Duration KeyRevocationLimit = 5s;
 
-/// A draining replica gets nothing later than this, with a margin for the stand-in's own clock.
+/// No request may reach a draining replica later than this. Includes a margin for the stand-in's
+/// own clock.
 constexpr Duration DrainLimit = 2s + 200ms;
 
-/// How often a request may still run later than StableWindow after it has ended three replicas.
+/// How often a request may still run later than StableWindow after it has crashed three replicas.
 constexpr std::size_t MaxLateFatalRuns = 3;
 constexpr Duration StableWindow = 3s;
 
-/// Requests that may reach a pausing replica from one router, later than the grace after its word.
+/// Requests from one router that may reach a replica during the pause that it asked for, later than
+/// PauseGrace after it asked.
 constexpr std::ptrdiff_t MaxRequestsInPause = 2;
 constexpr auto PauseGrace = 500ms;
 
-/// A failure domain gets nothing later than this after its evacuation was acknowledged, with a
-/// margin for the stand-in's own clock.
+/// No request may reach a failure domain later than this after its evacuation was acknowledged.
+/// Includes a margin for the stand-in's own clock.
 constexpr Duration EvacuationLimit = 2s + 200ms;
 
 constexpr std::size_t MaxReportedLines = 20;
@@ -68,7 +70,7 @@
             && it.signature == standin::ReplicaStandin::signatureOf(id, it.body);
 }
 
-/// \returns what the caller of \a id had and where it ran, for whoever looks for the cause.
+/// \returns the answer to the request \a id and the replicas that it ran on, for the report.
 std::string describe(const std::string &id, const Attempt &attempt,
                      const std::vector<Json::Value> &executions)
 {
@@ -95,7 +97,7 @@
                         });
 }
 
-/// \returns whether \a router ran on without a pause from \a from to \a to.
+/// \returns whether \a router ran without interruption between \a from and \a to.
 bool ranWithoutPause(std::size_t router, WallTime from, WallTime to, const RunHistory &history)
 {
     return std::none_of(history.disturbances.begin(), history.disturbances.end(),
@@ -109,7 +111,8 @@
     return WallTime(std::chrono::milliseconds(arrival["at_ms"].asInt64()));
 }
 
-/// Checks that nothing goes to a replica from a router that has passed on its word that it leaves.
+/// Checks that a router sends nothing to a replica after it has forwarded an answer in which that
+/// replica reports that it leaves.
 void checkLeaving(const std::map<std::string, Attempt> &attempts,
                   const std::vector<Json::Value> &arrivals, const RunHistory &history,
                   const std::function<void(std::string)> &broken)
@@ -126,14 +129,15 @@
                                     history))
                 continue;
             broken(fmt::format(
-                    "{} reached replica {} {} ms after router {} had passed on that it leaves",
+                    "{} reached replica {} {} ms after router {} had forwarded that it leaves",
                     attempt->first, it["replica"].asString(),
                     (timeOf(it) - leavingAnswer.answeredAt) / 1ms, leavingAnswer.router));
         }
     }
 }
 
-/// Checks that a replica which has asked a router for a pause has it.
+/// Checks that a router sends almost nothing to a replica during a pause that the replica asked
+/// for.
 void checkPauses(const std::map<std::string, Attempt> &attempts,
                  const std::vector<Json::Value> &arrivals, const RunHistory &history,
                  const std::function<void(std::string)> &broken)
@@ -157,7 +161,8 @@
     }
 }
 
-/// \returns runs of the fatal request that routers in touch sent though they had to know better.
+/// \returns the number of times that undisturbed routers sent the fatal request after the time by
+/// which they must have quarantined it.
 std::size_t lateFatalRuns(const std::map<std::string, Attempt> &attempts,
                           const std::vector<Json::Value> &executions, const RunHistory &history)
 {
@@ -199,7 +204,7 @@
     }
 }
 
-/// Checks that no cold replica gets more in one second than it bears.
+/// Checks that no cold replica receives more requests in one second than its limit.
 void checkColdReplicas(const std::vector<Json::Value> &arrivals, const RunHistory &history,
                        const std::function<void(std::string)> &broken)
 {
@@ -243,7 +248,7 @@
         ++runs[id];
         ranAt[id].insert(it["replica"].asString());
         if (attempt == attempts.end()) {
-            broken(fmt::format("{} ran though nobody sent it", id));
+            broken(fmt::format("{} ran although no caller sent it", id));
             continue;
         }
         if (it["key_seen"].asBool() || it["workspace"].asString() != "archive")
@@ -252,12 +257,12 @@
         for (const OperatorAct &action : history.acts) {
             if (!action.key.empty() && attempt->second.key == action.key
                 && attempt->second.sentAt > action.acknowledgedAt + KeyRevocationLimit)
-                broken(fmt::format("{} ran with a key that was taken away", id));
+                broken(fmt::format("{} ran with a revoked key", id));
             if (action.controlStable && !action.replica.empty()
                 && it["replica"].asString() == action.replica
                 && at > action.acknowledgedAt + DrainLimit)
-                broken(fmt::format("{} reached draining replica {} {} ms after the word", id,
-                                   action.replica, (at - action.acknowledgedAt) / 1ms));
+                broken(fmt::format("{} reached replica {} {} ms after it was marked as draining",
+                                   id, action.replica, (at - action.acknowledgedAt) / 1ms));
         }
     }
     for (const auto &[id, it] : attempts) {
@@ -275,7 +280,7 @@
                                describe(id, it, executions)));
         if (!id.starts_with(FatalIdPrefix)
             && it.body.find("request_quarantined") != std::string::npos)
-            broken(fmt::format("{} was held back for what another request did", id));
+            broken(fmt::format("{} was quarantined because of another request", id));
         if (it.status == 200 && n == 0)
             broken(fmt::format("{} was answered and did not run ({})", id,
                                describe(id, it, executions)));
@@ -285,7 +290,7 @@
     checkEvacuations(attempts, arrivals, history, broken);
     checkColdReplicas(arrivals, history, broken);
     if (const std::size_t n = lateFatalRuns(attempts, executions, history); n > MaxLateFatalRuns)
-        broken(fmt::format("a request under which three replicas had ended ran {} times more", n));
+        broken(fmt::format("a request that had crashed three replicas ran {} more times", n));
     return out;
 }
 
--- a/soak/SoakCheck.h
+++ b/soak/SoakCheck.h
@@ -10,16 +10,16 @@
 
 namespace catkinloft::soak {
 
-/// \brief What the operator did that limits what may run.
+/// \brief An operator's action after which certain requests may no longer run.
 struct OperatorAct
 {
     WallTime acknowledgedAt = {};
-    std::string key = {}; ///< Taken away; empty: the act concerns a replica.
-    std::string replica = {}; ///< Told that it drains.
-    bool controlStable = true; ///< Nothing disturbed routers or store around the act.
+    std::string key = {}; ///< The revoked key; empty: the action concerns a replica.
+    std::string replica = {}; ///< The replica that was marked as draining.
+    bool controlStable = true; ///< No router or store fault near the action.
 };
 
-/// \brief A time in which nothing might be sent to the replicas of one failure domain.
+/// \brief A period in which nothing may be sent to the replicas of one failure domain.
 struct Evacuation
 {
     std::string domain = {};
@@ -28,16 +28,16 @@
     bool controlStable = true; ///< \sa OperatorAct::controlStable
 };
 
-/// \brief A time in which a replica was cold and its entry had told so for a while.
+/// \brief A period in which a replica was cold and all routers had read its entry.
 struct ColdPeriod
 {
     std::string replica = {};
     WallTime from = {};
     WallTime until = {};
-    double maxPerSecond = 0; ///< Requests in one second, from all routers together.
+    double maxPerSecond = 0; ///< Limit on requests in one second, over all routers.
 };
 
-/// \brief A time in which a router was killed, stopped or paused, until it ran again.
+/// \brief A period in which a router was killed, stopped or paused, until it ran again.
 struct RouterDisturbance
 {
     std::size_t router = 0;
@@ -45,7 +45,7 @@
     WallTime until = WallTime::max();
 };
 
-/// \brief What a run did to the system, as far as it limits the promises.
+/// \brief The actions and faults of a run that decide which guarantees apply.
 struct RunHistory
 {
     std::vector<OperatorAct> acts = {};
@@ -55,8 +55,9 @@
     std::function<std::string(const std::string &replica)> domainOf = {}; ///< By the replica's id.
 };
 
-/// \brief Checks the promises of the pages against what callers saw and what arrived at replicas.
-/// \returns a line for each broken promise, the first few of a kind.
+/// \brief Checks the documented guarantees against the answers that callers received and the
+/// requests that arrived at replicas.
+/// \returns one line for each violated guarantee, up to a limit on the number of lines.
 std::vector<std::string> brokenPromises(const std::map<std::string, Attempt> &attempts,
                                         const std::vector<Json::Value> &arrivals,
                                         const RunHistory &history);
--- a/soak/SoakLoad.cpp
+++ b/soak/SoakLoad.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// Requests between two questions to the directory.
+/// Number of requests between two queries to the directory.
 constexpr std::size_t RequestsPerResolve = 60;
 
 } // namespace
@@ -21,7 +21,7 @@
 SoakLoad::SoakLoad(Options options)
     : m_options(std::move(options)), m_client(m_options.loop),
       m_timer(m_options.loop, [this] { send(); }),
-      // Not drawn, so that the rest of a run is the same with and without.
+      // Takes no random numbers, so that the other requests are the same with and without it.
       m_fatalTimer(m_options.loop, [this] {
           send({"safe", "POST", "/safe/a", standin::FatalBody},
                fmt::format("{}{}", FatalIdPrefix, m_fatalNumber),
@@ -41,7 +41,7 @@
                     .timeout = 1s},
                    [this](const Result<HttpAnswer> &answer) {
                        if (!answer || answer.value().head.status != 200)
-                           return; // Callers keep the answer that they have.
+                           return; // Callers continue with the addresses that they have.
                        const Result<Json::Value> root = parseJsonObject(answer.value().body);
                        if (!root || root.value()["addresses"].empty())
                            return;
--- a/soak/SoakLoad.h
+++ b/soak/SoakLoad.h
@@ -14,25 +14,25 @@
 
 namespace catkinloft::soak {
 
-/// Ids of the requests that end replicas begin so.
+/// Prefix of the ids of requests that crash replicas.
 inline constexpr std::string_view FatalIdPrefix = "fatal-";
 
-/// \brief What a caller saw of one attempt.
+/// \brief One attempt and its answer, as the caller received it.
 struct Attempt
 {
     std::string route = {};
     std::string key = {};
-    std::size_t router = 0; ///< That it was sent to.
+    std::size_t router = 0; ///< Index of the router that it was sent to.
     WallTime sentAt = {};
-    int status = 0; ///< 0: no whole answer.
+    int status = 0; ///< 0: no complete answer.
     std::string body = {};
     std::string signature = {};
-    bool saysLeaving = false; ///< The answer says that its replica leaves.
+    bool saysLeaving = false; ///< The answer reports that its replica leaves.
     WallTime answeredAt = {};
 };
 
-/// \brief Callers that ask the directory for addresses, keep using open connections, and send calls
-/// and streams at a steady rate.
+/// \brief Simulates callers that resolve router addresses through the directory, reuse open
+/// connections, and send calls and streams at a constant rate.
 class SoakLoad
 {
 public:
@@ -53,11 +53,11 @@
         m_fatalTimer.stop();
     }
 
-    /// \brief Sends a request that ends the replica which runs it, each \a interval from now on;
-    /// zero: none any more.
+    /// \brief Sends a request that crashes the replica which runs it, once every \a interval from
+    /// now on; zero stops sending them.
     void sendFatal(Duration interval);
 
-    /// \brief Sets the key that callers show from now on.
+    /// \brief Sets the key that callers send from now on.
     void setKey(const std::string &key) { m_key = key; }
 
     std::size_t inProgress() const { return m_inProgress; }
--- a/soak/SoakPlan.h
+++ b/soak/SoakPlan.h
@@ -11,27 +11,27 @@
 
 enum class FaultKind {
     RouterKill, ///< SIGKILL, then started again.
-    RouterTerm, ///< SIGTERM, then started again once it has ended.
+    RouterTerm, ///< SIGTERM, then started again once it has exited.
     RouterPause, ///< SIGSTOP, then SIGCONT.
     StoreDown,
     StoreSlow,
     StoreLosesAnswers,
-    StoreForgets, ///< The history of changes.
-    StorePathCut, ///< One router reaches the store no more.
-    StorePathSilent, ///< One router's open connections to the store go silent.
+    StoreForgets, ///< Discards its history of changes.
+    StorePathCut, ///< One router can no longer reach the store.
+    StorePathSilent, ///< One router's open connections to the store stop delivering data.
     ReplicaKill, ///< SIGKILL, then started with a new id.
     ReplicaPause,
-    ReplicaFails, ///< Loses answers, fails, refuses, hangs and cuts streams, in shares.
+    ReplicaFails, ///< Randomly loses answers, fails, refuses, hangs and cuts streams.
     ReplicaPathSilent,
     ReplicaPathDelay,
-    ReplicaDrain, ///< Says that it leaves; is replaced later.
-    KeyTaken, ///< A key is taken away and another is added.
-    ConfigChange, ///< A route comes or goes.
-    ReplicaSaysLeaving, ///< In its answers only; is replaced later.
-    ReplicaAsksForPause, ///< With each request that it turns away.
-    FatalRequest, ///< A request that ends the replicas that run it comes again and again.
+    ReplicaDrain, ///< Marked as draining in its entry; replaced later.
+    KeyTaken, ///< A key is revoked and another is added.
+    ConfigChange, ///< A route is added or removed.
+    ReplicaSaysLeaving, ///< Reports it in its answers only; replaced later.
+    ReplicaAsksForPause, ///< Asks for it with each request that it refuses.
+    FatalRequest, ///< A request that crashes the replicas that run it is sent repeatedly.
     DomainEvacuated, ///< Nothing may be sent to the replicas of one failure domain.
-    ReplicaTurnsCold, ///< It bears few requests a second and ends above.
+    ReplicaTurnsCold, ///< Handles few requests per second and crashes above its limit.
 };
 
 std::string_view faultName(FaultKind kind);
@@ -41,21 +41,22 @@
 {
     FaultKind kind = FaultKind::RouterKill;
     Duration at = {}; ///< From the start of the load.
-    Duration length = {}; ///< Until it is taken back.
-    std::size_t target = 0; ///< Number of the router or replica.
+    Duration length = {}; ///< Until it is reverted.
+    std::size_t target = 0; ///< Index of the router or replica.
 };
 
-/// \returns faults that replicas bring with them, apart from drawFaults() so that the plans of
-/// known seeds stay as they are.
+/// \returns faults that originate in replicas. They are drawn separately from drawFaults() so that
+/// the plans of recorded seeds do not change.
 std::vector<Fault> drawReplicaFaults(const RandomSource &random, Duration length,
                                      std::size_t replicas);
 
-/// \returns faults of failure domains and of replicas that turn cold, apart for the same reason.
+/// \returns faults of failure domains and of replicas that become cold, drawn separately for the
+/// same reason.
 std::vector<Fault> drawDomainFaults(const RandomSource &random, Duration length,
                                     std::size_t replicas);
 
-/// \returns the faults of the run with \a random, in order of time: single ones, series of one kind
-/// and overlapping ones.
+/// \returns the faults of a run, drawn from \a random and ordered by time: single faults, series of
+/// one kind, and overlapping faults.
 std::vector<Fault> drawFaults(const RandomSource &random, Duration length, std::size_t routers,
                               std::size_t replicas);
 
--- a/soak/SoakRun.cpp
+++ b/soak/SoakRun.cpp
@@ -13,28 +13,30 @@
 
 using namespace std::chrono_literals;
 
-/// After the last fault: what is left to serve normally again, and then to end.
+/// Time after the last fault in which the system must return to normal service.
 constexpr Duration SettleTime = 6s;
 
-/// How long a replica is away that a request has ended, and how often that is looked at.
+/// How long a replica that a request has crashed stays down, and how often this is checked.
 constexpr Duration ReplicaRestartDelay = 2s;
 constexpr Duration RestartCheckInterval = 250ms;
 
-/// Between two requests that end replicas.
+/// Time between two requests that crash replicas.
 constexpr Duration FatalInterval = 300ms;
 
-/// Promises with a time bound hold for what was calm for so long before.
+/// Guarantees with a time bound apply only if no fault of routers or store was active for this long
+/// before.
 constexpr Duration ControlSettleTime = 3s;
 
 constexpr int Probes = 12; ///< Requests to each router at the end, of which most must be served.
 
-/// Sets the draws of domain faults apart from those of the others.
+/// Separates the random numbers of domain faults from those of the other faults.
 constexpr std::uint64_t DomainSeed = 0x5EED;
 
-/// Until all routers have read the entry of a replica that has turned cold.
+/// Time until all routers have read the entry of a replica that has become cold.
 constexpr std::chrono::milliseconds ColdPropagationTime = 2s;
 
-/// \returns a folder in \a parent for the logs of \a seed, apart from those of its earlier plays.
+/// \returns an unused folder in \a parent for the logs of \a seed, so that logs of earlier runs
+/// with the same seed are kept.
 std::filesystem::path unusedFolder(const std::filesystem::path &parent, std::uint64_t seed)
 {
     std::filesystem::path out = parent / fmt::format("seed-{}", seed);
@@ -100,7 +102,7 @@
 void SoakRun::finish()
 {
     m_load->stop();
-    // What is still open ends by its own time limit.
+    // Requests in progress end by their own timeout.
     m_loop.after(4s, [this] { m_loop.stop(); });
 }
 
@@ -113,7 +115,7 @@
 {
     if (disturbsControl(fault.kind)) {
         m_disturbedUntil = std::max(m_disturbedUntil, m_loop.now() + fault.length);
-        for (OperatorAct &it : m_history.acts) // Their bounds may not have run out yet.
+        for (OperatorAct &it : m_history.acts) // Their time bounds may not have expired yet.
             it.controlStable =
                     it.controlStable && m_loop.wallNow() > it.acknowledgedAt + ControlSettleTime;
         for (Evacuation &it : m_history.evacuations)
@@ -233,13 +235,14 @@
     const std::string old = std::exchange(m_key, fmt::format("key-{}", ++m_keys));
     m_fleet.writeConfig({m_key}, m_extraRoute);
     m_history.acts.push_back({.acknowledgedAt = m_loop.wallNow(), .key = old});
-    // Callers go on with the old key for longer than it may still run.
+    // Callers continue with the old key for longer than requests with it may still run.
     m_loop.after(7s, [this, key = m_key] { m_load->setKey(key); });
 }
 
 void SoakRun::setReplicaFaults(std::size_t i, const std::string &faults)
 {
-    // One that is paused or not there takes no orders, and its return waits for this thread.
+    // A replica that is paused or not running cannot apply faults, and waiting for it here would
+    // block the thread that ends its outage.
     if (m_replicaOutages[i] > 0 || !m_fleet.setReplicaFaults(i, faults))
         m_pendingFaults[i] = faults;
 }
--- a/soak/SoakRun.h
+++ b/soak/SoakRun.h
@@ -18,18 +18,18 @@
     {
         std::string binaries;
         std::uint64_t seed = 1;
-        Duration length = std::chrono::seconds(10); ///< While faults begin.
+        Duration length = std::chrono::seconds(10); ///< Period in which faults begin.
         std::size_t routers = 4;
         std::size_t replicas = 3; ///< Of each of two services.
         bool withReplicaFaults = true; ///< \sa drawReplicaFaults
         bool withDomainFaults = true; ///< \sa drawDomainFaults
-        std::string keepFolder = {}; ///< Logs of a run with a broken promise are kept there.
+        std::string keepFolder = {}; ///< Receives the logs of a run that violates a guarantee.
     };
 
     struct Outcome
     {
         std::vector<Fault> faults;
-        std::vector<std::string> broken; ///< Empty: all promises were kept.
+        std::vector<std::string> broken; ///< Violated guarantees; empty if the run passed.
         std::size_t requests = 0;
         std::size_t answered = 0;
     };
@@ -62,13 +62,15 @@
     RandomSource m_random;
     std::optional<SoakLoad> m_load;
     RunHistory m_history;
-    std::unique_ptr<Timer> m_restartTimer; ///< Starts replicas anew that have ended by themselves.
+    std::unique_ptr<Timer> m_restartTimer; ///< Restarts replicas that have exited on their own.
     std::string m_key = standin::EntryFleet::Key;
     int m_keys = 0;
     std::map<std::size_t, int> m_replicaOutages; ///< Pauses and kills in progress, by replica.
-    std::map<std::size_t, std::string> m_pendingFaults; ///< Ordered while it was away.
+    std::map<std::size_t, std::string>
+            m_pendingFaults; ///< Requested during an outage of the replica.
     bool m_extraRoute = false;
-    TimePoint m_disturbedUntil; ///< Routers or store; promises with a time bound wait for calm.
+    TimePoint
+            m_disturbedUntil; ///< End of the last fault of routers or store. \sa ControlSettleTime
 };
 
 } // namespace catkinloft::soak
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -9,16 +9,16 @@
 #include <gflags/gflags.h>
 
 DEFINE_uint64(seed, 1, "seed of the first run");
-DEFINE_uint64(runs, 1, "how many runs, each with the next seed");
+DEFINE_uint64(runs, 1, "number of runs, each with the next seed");
 DEFINE_string(
         seeds, "",
-        "file with SEED, SEED@SECONDS or SEED@SECONDS+ in front of each line, played before the "
-        "others; +: with the faults that replicas bring with them, ++: also with those of failure "
-        "domains and cold replicas");
-DEFINE_double(seconds, 10, "while faults begin, in each run");
+        "file whose lines begin with SEED, SEED@SECONDS or SEED@SECONDS+, run before the others; "
+        "+: with the faults that originate in replicas, ++: also with those of failure domains and "
+        "cold replicas");
+DEFINE_double(seconds, 10, "period of each run in which faults begin, in seconds");
 DEFINE_uint64(routers, 4, "routers");
-DEFINE_uint64(replicas, 3, "replicas of each of the two services");
-DEFINE_string(keep, "soak-logs", "folder for the logs of runs with a broken promise");
+DEFINE_uint64(replicas, 3, "number of replicas of each of the two services");
+DEFINE_string(keep, "soak-logs", "folder for the logs of runs that violate a guarantee");
 
 namespace catkinloft::soak {
 
@@ -27,7 +27,7 @@
 struct RunPlan
 {
     std::uint64_t seed = 1;
-    Duration length = {}; ///< While faults begin.
+    Duration length = {}; ///< Period in which faults begin.
     bool withReplicaFaults = true;
     bool withDomainFaults = true;
 };
@@ -81,7 +81,8 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("plays runs of real entry processes under random faults");
+    gflags::SetUsageMessage(
+            "runs real entry processes under random faults and checks their guarantees");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     catkinloft::Log::setSink([](catkinloft::LogLevel, std::string_view) {});
