--- a/bench/PlacementBench.cpp
+++ b/bench/PlacementBench.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::int64_t Fewest = 10;
-constexpr std::int64_t Most = 10'000;
+constexpr std::int64_t MinUpstreams = 10;
+constexpr std::int64_t MaxUpstreams = 10'000;
 
 std::vector<Placement::Upstream> upstreams(std::int64_t n)
 {
@@ -46,7 +46,7 @@
         oldest = (oldest + 1) % running.size();
     }
 }
-BENCHMARK(placementUnderLoad)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(placementUnderLoad)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
 /// Only the first place of a chat's order.
 void chatOrder(benchmark::State &state)
@@ -60,7 +60,7 @@
     for (auto _ : state)
         benchmark::DoNotOptimize(order.at(++key));
 }
-BENCHMARK(chatOrder)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(chatOrder)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
 /// The way that was weighed against it: a score for every node.
 void plainRendezvous(benchmark::State &state)
@@ -74,7 +74,7 @@
         benchmark::DoNotOptimize(best);
     }
 }
-BENCHMARK(plainRendezvous)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(plainRendezvous)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
 /// What a change of the pool costs.
 void rebuild(benchmark::State &state)
@@ -84,6 +84,6 @@
     for (auto _ : state)
         placement.setUpstreams(upstreams(state.range(0)), Rules());
 }
-BENCHMARK(rebuild)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(rebuild)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
 } // namespace
--- a/bench/demo/RawLoad.cpp
+++ b/bench/demo/RawLoad.cpp
@@ -16,7 +16,7 @@
 public:
     Sender(const RawLoad::Options &options, std::vector<Duration> &latencies, int &failures)
         : m_options(options), m_latencies(latencies), m_failures(failures), m_client(m_loop),
-          m_end(m_loop.now() + options.duration), m_open(options.connectionsEach)
+          m_end(m_loop.now() + options.duration), m_activeConnections(options.connectionsEach)
     {
         if (options.rate > 0) {
             const int all = options.threads * options.connectionsEach;
@@ -41,7 +41,7 @@
     void send(TimePoint due)
     {
         if (m_loop.now() >= m_end) {
-            if (--m_open == 0)
+            if (--m_activeConnections == 0)
                 m_loop.stop();
             return;
         }
@@ -64,7 +64,7 @@
     EventLoop m_loop;
     HttpClient m_client;
     TimePoint m_end;
-    int m_open;
+    int m_activeConnections;
     Duration m_interval = Duration::zero();
 };
 
--- a/bench/demo/main.cpp
+++ b/bench/demo/main.cpp
@@ -53,7 +53,7 @@
     driver.at(12s, [&] { fleet.setProxyFaults(fleet.replicaAddress(0), R"({"lose_answers":3})"); });
 }
 
-void addPromises(const LoadReport &report, Figures &out)
+void addOutcomeFigures(const LoadReport &report, Figures &out)
 {
     out.add("requests", report.requests, "requests");
     out.add("answered", report.answered, "requests");
@@ -89,7 +89,7 @@
     if (FLAGS_faults)
         scheduleFaults(fleet, driver);
     LoadReport report = driver.run();
-    addPromises(report, out);
+    addOutcomeFigures(report, out);
     if (report.promptTokens > 0)
         out.add("cache_reuse", report.cachedTokens / report.promptTokens, "of prompt tokens");
     out.add("skew", report.skew(deployment.engines), "times the mean work");
@@ -111,22 +111,26 @@
     HttpCall routed = direct;
     routed.address = fleet.routerAddress(0);
     const pid_t router = fleet.router(0).pid();
-    const RawLoad::Outcome most = RawLoad::run({.call = routed, .server = router});
-    const double half = most.rate / 2;
-    const RawLoad::Outcome paced = RawLoad::run({.call = routed, .rate = half, .server = router});
-    const RawLoad::Outcome beside =
+    const RawLoad::Outcome maxLoad = RawLoad::run({.call = routed, .server = router});
+    const double half = maxLoad.rate / 2;
+    const RawLoad::Outcome halfLoad =
+            RawLoad::run({.call = routed, .rate = half, .server = router});
+    const RawLoad::Outcome directLoad =
             RawLoad::run({.call = direct, .rate = half, .server = fleet.replica(0).pid()});
-    out.add("router_rate", most.rate, "requests/s");
-    out.add("router_rate_per_core", most.rate / std::max(0.01, most.coreShare),
+    out.add("router_rate", maxLoad.rate, "requests/s");
+    out.add("router_rate_per_core", maxLoad.rate / std::max(0.01, maxLoad.coreShare),
             "requests/s and core");
-    out.add("router_failures", most.failures + paced.failures + beside.failures, "requests");
-    out.add("half_load_rate", paced.rate, "requests/s");
-    out.add("half_load_routed_p50", toSeconds(paced.p50) * MicrosPerSecond, "us");
-    out.add("half_load_routed_p99", toSeconds(paced.p99) * MicrosPerSecond, "us");
-    out.add("half_load_direct_p50", toSeconds(beside.p50) * MicrosPerSecond, "us");
-    out.add("half_load_direct_p99", toSeconds(beside.p99) * MicrosPerSecond, "us");
-    out.add("half_load_added_p50", toSeconds(paced.p50 - beside.p50) * MicrosPerSecond, "us");
-    out.add("half_load_added_p99", toSeconds(paced.p99 - beside.p99) * MicrosPerSecond, "us");
+    out.add("router_failures", maxLoad.failures + halfLoad.failures + directLoad.failures,
+            "requests");
+    out.add("half_load_rate", halfLoad.rate, "requests/s");
+    out.add("half_load_routed_p50", toSeconds(halfLoad.p50) * MicrosPerSecond, "us");
+    out.add("half_load_routed_p99", toSeconds(halfLoad.p99) * MicrosPerSecond, "us");
+    out.add("half_load_direct_p50", toSeconds(directLoad.p50) * MicrosPerSecond, "us");
+    out.add("half_load_direct_p99", toSeconds(directLoad.p99) * MicrosPerSecond, "us");
+    out.add("half_load_added_p50", toSeconds(halfLoad.p50 - directLoad.p50) * MicrosPerSecond,
+            "us");
+    out.add("half_load_added_p99", toSeconds(halfLoad.p99 - directLoad.p99) * MicrosPerSecond,
+            "us");
 }
 
 int runDemo()
--- a/bench/hotpath/ClosedLoop.cpp
+++ b/bench/hotpath/ClosedLoop.cpp
@@ -18,7 +18,7 @@
 {
     m_begin = m_loop.now();
     m_calls.resize(static_cast<std::size_t>(m_options.inProgress));
-    m_open = m_calls.size();
+    m_inProgress = m_calls.size();
     for (std::size_t i = 0; i < m_calls.size(); ++i)
         start(i);
     m_loop.run();
@@ -30,7 +30,7 @@
 {
     const TimePoint now = m_loop.now();
     if (now - m_begin >= m_options.length || m_started >= m_options.calls) {
-        if (--m_open == 0)
+        if (--m_inProgress == 0)
             m_loop.stop();
         return;
     }
@@ -42,10 +42,11 @@
                          m_result.failed += head.status != 200 ? 1 : 0;
                      },
              .onData = [this](std::string_view data) { m_result.bytes += data.size(); },
-             .onEnd = [this, i, now](const Result<void> &result) { ended(i, now, bool(result)); }});
+             .onEnd = [this, i,
+                       now](const Result<void> &result) { finishCall(i, now, bool(result)); }});
 }
 
-void ClosedLoop::ended(std::size_t i, TimePoint begin, bool succeeded)
+void ClosedLoop::finishCall(std::size_t i, TimePoint begin, bool succeeded)
 {
     m_result.failed += succeeded ? 0 : 1;
     ++m_result.done;
--- a/bench/hotpath/ClosedLoop.h
+++ b/bench/hotpath/ClosedLoop.h
@@ -38,14 +38,14 @@
 
 private:
     void start(std::size_t i);
-    void ended(std::size_t i, TimePoint begin, bool succeeded);
+    void finishCall(std::size_t i, TimePoint begin, bool succeeded);
 
     EventLoop m_loop;
     HttpClient m_client{m_loop};
     Options m_options;
     TimePoint m_begin;
     std::size_t m_started = 0;
-    std::size_t m_open = 0;
+    std::size_t m_inProgress = 0;
     std::vector<HttpCallPtr> m_calls;
     RunResult m_result;
 };
--- a/bench/hotpath/HotPath.cpp
+++ b/bench/hotpath/HotPath.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-standin::Deployment oneOfEach()
+standin::Deployment minimalDeployment()
 {
     standin::Deployment out = standin::deploymentNamed("sofiyska");
     out.engines = 1;
@@ -22,7 +22,7 @@
 } // namespace
 
 HotPath::HotPath(double tokenMs)
-    : m_fleet({.deployment = oneOfEach(),
+    : m_fleet({.deployment = minimalDeployment(),
                .binaries = std::filesystem::canonical("/proc/self/exe").parent_path().string(),
                .engineFlags = {"--slots=100000", "--prefill_rate=1e12",
                                fmt::format("--token_ms={}", tokenMs)},
--- a/bench/measure/ClaimsMeasure.cpp
+++ b/bench/measure/ClaimsMeasure.cpp
@@ -15,12 +15,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration StoreTime = 2ms; ///< From a transaction to its answer.
-constexpr Duration CallTime = 20ms; ///< From a granted claim to the service's answer.
+constexpr Duration StoreLatency = 2ms; ///< From a transaction to its answer.
+constexpr Duration ServiceTime = 20ms; ///< From a granted claim to the service's answer.
 constexpr Duration Step = 500us;
 constexpr Duration Length = 10s;
 
-/// Answers every transaction after StoreTime; checks versions like the real one.
+/// Answers every transaction after StoreLatency; checks versions like the real one.
 class DelayedTable final : public TableService
 {
 public:
@@ -39,7 +39,7 @@
     void commit(TableTransaction transaction, Callback<TableCommit> done) override
     {
         ++commits;
-        m_pending.emplace(m_clock.now() + StoreTime,
+        m_pending.emplace(m_clock.now() + StoreLatency,
                           std::pair(std::move(transaction), std::move(done)));
     }
 
@@ -75,7 +75,7 @@
     std::uint64_t m_version = 0;
 };
 
-class NoObjects final : public ObjectStore
+class EmptyObjectStore final : public ObjectStore
 {
 public:
     void put(std::string, std::string, Callback<void> done) override { done(outcome::success()); }
@@ -93,7 +93,7 @@
         : m_rate(rate), m_random(seededRandom(seed))
     {
         for (std::size_t i = 0; i < routers; ++i) {
-            m_keepers.push_back(std::make_unique<ClaimManager>(
+            m_managers.push_back(std::make_unique<ClaimManager>(
                     ClaimManager::Options{.table = m_table,
                                           .objects = m_objects,
                                           .clock = m_clock,
@@ -112,7 +112,7 @@
                  next += fromSeconds(-std::log(1 - uniform(m_random)) / m_rate))
                 begin(next);
             finishCalls();
-            for (const auto &it : m_keepers)
+            for (const auto &it : m_managers)
                 it->poll();
             m_table.poll();
             m_clock.advance(Step);
@@ -139,18 +139,18 @@
 private:
     void begin(TimePoint at)
     {
-        ClaimManager &keeper = *m_keepers[below(m_random, m_keepers.size())];
-        keeper.claim({.workspace = "w",
-                      .key = fmt::format("key-{}", m_nextKey++),
-                      .fingerprint = "f",
-                      .deadline = at + 10s},
-                     [this, at, &keeper](const Result<ClaimManager::Grant> &it) {
-                         if (!it)
-                             return;
-                         m_waits.push_back(toSeconds(m_clock.now() - at));
-                         m_calls.emplace(m_clock.now() + CallTime,
-                                         std::pair(&keeper, it.value().claim));
-                     });
+        ClaimManager &manager = *m_managers[below(m_random, m_managers.size())];
+        manager.claim({.workspace = "w",
+                       .key = fmt::format("key-{}", m_nextKey++),
+                       .fingerprint = "f",
+                       .deadline = at + 10s},
+                      [this, at, &manager](const Result<ClaimManager::Grant> &it) {
+                          if (!it)
+                              return;
+                          m_waits.push_back(toSeconds(m_clock.now() - at));
+                          m_calls.emplace(m_clock.now() + ServiceTime,
+                                          std::pair(&manager, it.value().claim));
+                      });
     }
 
     void finishCalls()
@@ -166,8 +166,8 @@
     ManualClock m_clock;
     Metrics m_metrics;
     DelayedTable m_table{m_clock};
-    NoObjects m_objects;
-    std::vector<std::unique_ptr<ClaimManager>> m_keepers;
+    EmptyObjectStore m_objects;
+    std::vector<std::unique_ptr<ClaimManager>> m_managers;
     std::multimap<TimePoint, std::pair<ClaimManager *, ClaimPtr>> m_calls;
     std::vector<double> m_waits;
     std::uint64_t m_nextKey = 0;
--- a/bench/measure/ControlMeasure.cpp
+++ b/bench/measure/ControlMeasure.cpp
@@ -30,8 +30,8 @@
     std::uint64_t seed;
     const Report &report;
 
-    void tell(const char *measure, double value, const char *unit,
-              const char *policy = "swim") const
+    void reportFigure(const char *measure, double value, const char *unit,
+                      const char *policy = "swim") const
     {
         report({.measure = measure,
                 .scenario = fmt::format("loss {:g} %", loss * 100),
@@ -63,7 +63,7 @@
     return out;
 }
 
-std::uint64_t mostBytes(PeerGroup &group, const std::vector<std::uint64_t> &before)
+std::uint64_t maxBytes(PeerGroup &group, const std::vector<std::uint64_t> &before)
 {
     std::uint64_t out = 0;
     for (std::size_t i = 0; i < group.size(); ++i)
@@ -82,7 +82,7 @@
 
 /// Seconds from a commit until each router has it, at the daily rate of changes, and what the
 /// routers send meanwhile.
-void measureSpread(const Scenario &it, PeerGroup &group)
+void measurePropagation(const Scenario &it, PeerGroup &group)
 {
     const RandomSource random = seededRandom(it.seed + 17);
     std::vector<double> took;
@@ -118,15 +118,15 @@
         longest = std::max(longest, toSeconds(group.clock().now() - start));
     }
     const double seconds = toSeconds(group.clock().now() - begin);
-    it.tell("spread_s", quantile(took, 0.5), "s", "p50");
-    it.tell("spread_s", quantile(took, 0.99), "s", "p99");
-    it.tell("spread_s", longest, "s", "max");
+    it.reportFigure("spread_s", quantile(took, 0.5), "s", "p50");
+    it.reportFigure("spread_s", quantile(took, 0.99), "s", "p99");
+    it.reportFigure("spread_s", longest, "s", "max");
     const double mean = static_cast<double>(totalBytes(group) - bytes)
             / static_cast<double>(group.size()) / seconds;
-    it.tell("control_bytes_per_s", mean, "B/s", "mean of routers, with changes");
-    it.tell("control_bytes_per_s", static_cast<double>(mostBytes(group, before)) / seconds, "B/s",
-            "highest router, with changes");
-    it.tell("change_rate", Changes / seconds, "1/s");
+    it.reportFigure("control_bytes_per_s", mean, "B/s", "mean of routers, with changes");
+    it.reportFigure("control_bytes_per_s", static_cast<double>(maxBytes(group, before)) / seconds,
+                    "B/s", "highest router, with changes");
+    it.reportFigure("change_rate", Changes / seconds, "1/s");
 }
 
 void measureDetection(const Scenario &it, PeerGroup &group)
@@ -146,12 +146,12 @@
         group.schedule(victim);
         group.run(20s);
     }
-    it.tell("detect_s", quantile(took, 0.5), "s", "p50 of all routers knowing");
-    it.tell("detect_s", quantile(took, 1), "s", "max of all routers knowing");
+    it.reportFigure("detect_s", quantile(took, 0.5), "s", "p50 of all routers knowing");
+    it.reportFigure("detect_s", quantile(took, 1), "s", "max of all routers knowing");
 }
 
 /// Everyone is up, so that each death is a false one.
-void measureQuiet(const Scenario &it, PeerGroup &group, Duration length)
+void measureSteadyState(const Scenario &it, PeerGroup &group, Duration length)
 {
     std::uint64_t suspicions = 0;
     std::uint64_t deaths = 0;
@@ -164,12 +164,12 @@
     const std::uint64_t bytes = totalBytes(group);
     group.run(length);
     const std::string span = fmt::format("beliefs in {:g} s", toSeconds(length));
-    it.tell("false_deaths", static_cast<double>(deaths), "count", span.c_str());
-    it.tell("false_suspicions", static_cast<double>(suspicions), "count", span.c_str());
-    it.tell("control_bytes_per_s",
-            static_cast<double>(totalBytes(group) - bytes) / static_cast<double>(group.size())
-                    / toSeconds(length),
-            "B/s", "mean of routers, quiet");
+    it.reportFigure("false_deaths", static_cast<double>(deaths), "count", span.c_str());
+    it.reportFigure("false_suspicions", static_cast<double>(suspicions), "count", span.c_str());
+    it.reportFigure("control_bytes_per_s",
+                    static_cast<double>(totalBytes(group) - bytes)
+                            / static_cast<double>(group.size()) / toSeconds(length),
+                    "B/s", "mean of routers, quiet");
 }
 
 PeerGroup::Options groupOf(const Scenario &it)
@@ -185,13 +185,13 @@
             PeerGroup group(groupOf(it));
             group.introduceAll();
             group.run(20s);
-            measureSpread(it, group);
+            measurePropagation(it, group);
             measureDetection(it, group);
         }
     }
 }
 
-void runQuiet(std::uint64_t seed, const Report &report)
+void runSteadyState(std::uint64_t seed, const Report &report)
 {
     for (const std::size_t routers : {6U, 90U, 890U}) {
         for (const double loss : {0.01, 0.05}) {
@@ -199,7 +199,7 @@
             PeerGroup group(groupOf(it));
             group.introduceAll();
             group.run(20s);
-            measureQuiet(it, group, loss == 0.01 ? Duration(1h) : Duration(10min));
+            measureSteadyState(it, group, loss == 0.01 ? Duration(1h) : Duration(10min));
         }
     }
 }
@@ -240,11 +240,11 @@
                          .summary = "spread of a change, detection of a death, control bytes",
                          .slopes = true,
                          .run = &runControl});
-const bool QuietRegistered = registerSubject(
+const bool SteadyStateRegistered = registerSubject(
         {.name = "control-quiet",
          .summary = "false deaths in an hour at 1 % loss (some minutes of run time)",
          .slopes = false,
-         .run = &runQuiet});
+         .run = &runSteadyState});
 const bool CostRegistered =
         registerSubject({.name = "config-cost",
                          .summary = "processor time of one change of a large inventory",
--- a/bench/measure/EngineMeasure.cpp
+++ b/bench/measure/EngineMeasure.cpp
@@ -148,12 +148,12 @@
 Point readingBytes(int engines, int routers)
 {
     ManualClock clock;
-    IdleEngines port;
+    IdleEngines engineClient;
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(routers));
     owners.setEngines(namesOf("engine", engines));
     EngineTracker tracker({.clock = clock});
-    EnginePoller poller({.clock = clock, .engines = port, .tracker = tracker});
+    EnginePoller poller({.clock = clock, .engines = engineClient, .tracker = tracker});
     std::vector<EnginePoller::Engine> owned;
     for (const std::string &it : owners.owned())
         owned.push_back({.name = it, .address = it});
@@ -163,7 +163,8 @@
         clock.advance(100ms);
         poller.poll();
     }
-    return {.size = double(engines), .cost = double(port.readings) * ReadingBytes / Seconds};
+    return {.size = double(engines),
+            .cost = double(engineClient.readings) * ReadingBytes / Seconds};
 }
 
 /// \brief All order controllers of a fleet before one table.
@@ -181,7 +182,7 @@
                     .clock = m_clock,
                     .random = seededRandom(seed * 100'000 + i),
                     .table = table,
-                    .engines = port,
+                    .engines = engineClient,
                     .metrics = m_metrics,
                     .self = views[i].name,
                     .isPrimaryFor = [it = m_owners.back().get()](std::uint64_t key) {
@@ -191,7 +192,7 @@
         }
     }
 
-    void pass(Duration time)
+    void advanceBy(Duration time)
     {
         for (Duration t{}; t < time; t += 500ms) {
             m_clock.advance(500ms);
@@ -202,7 +203,7 @@
     }
 
     CountingTable table;
-    IdleEngines port;
+    IdleEngines engineClient;
 
 private:
     ManualClock m_clock;
@@ -221,13 +222,13 @@
 FleetCost orderCost(int routers, int engines, std::uint64_t seed)
 {
     OrderFleet fleet(routers, engines, seed);
-    fleet.pass(60s); // Every lease is taken.
-    fleet.table.writes = fleet.table.reads = fleet.port.readings = 0;
+    fleet.advanceBy(60s); // Every lease is taken.
+    fleet.table.writes = fleet.table.reads = fleet.engineClient.readings = 0;
     constexpr double Seconds = 300;
-    fleet.pass(fromSeconds(Seconds));
+    fleet.advanceBy(fromSeconds(Seconds));
     return {.writes = double(fleet.table.writes) / Seconds,
             .reads = double(fleet.table.reads) / Seconds,
-            .readings = double(fleet.port.readings) / Seconds / routers};
+            .readings = double(fleet.engineClient.readings) / Seconds / routers};
 }
 
 /// Processor time of one router for a revision that changes one engine.
@@ -238,7 +239,7 @@
     const std::vector<std::string> names = namesOf("engine", engines);
     ManualClock clock;
     CountingTable table;
-    IdleEngines port;
+    IdleEngines engineClient;
     Metrics metrics;
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(FullRouters));
@@ -247,7 +248,7 @@
             {.clock = clock,
              .random = seededRandom(1),
              .table = table,
-             .engines = port,
+             .engines = engineClient,
              .metrics = metrics,
              .self = "router-0",
              .isPrimaryFor = [&](std::uint64_t key) { return owners.isPrimaryFor(key); }});
--- a/bench/measure/FakePlatform.h
+++ b/bench/measure/FakePlatform.h
@@ -31,7 +31,7 @@
     void setMode(StoreMode mode) { m_mode = mode; }
 
     /// \brief Runs once before the next commit is decided, for races.
-    void beforeNextCommit(std::function<void()> it) { m_before = std::move(it); }
+    void beforeNextCommit(std::function<void()> it) { m_beforeCommit = std::move(it); }
 
     std::size_t reads() const { return m_reads; }
 
@@ -59,7 +59,7 @@
     void commit(TableTransaction transaction, Callback<TableCommit> done) override
     {
         m_later([this, transaction = std::move(transaction), done = std::move(done)] {
-            if (const auto before = std::exchange(m_before, {}))
+            if (const auto before = std::exchange(m_beforeCommit, {}))
                 before();
             if (m_mode == StoreMode::Down) {
                 done(down(Verdict::NotRun));
@@ -108,7 +108,7 @@
 
     Later m_later;
     StoreMode m_mode = StoreMode::Up;
-    std::function<void()> m_before;
+    std::function<void()> m_beforeCommit;
     std::map<std::string, TableRow> m_rows;
     std::uint64_t m_next = 1;
     std::size_t m_reads = 0;
--- a/bench/measure/HealthMeasure.cpp
+++ b/bench/measure/HealthMeasure.cpp
@@ -108,7 +108,7 @@
 };
 
 template<typename Rule>
-Outcome watch(const Fault &fault, std::uint64_t seed)
+Outcome runUntilEjection(const Fault &fault, std::uint64_t seed)
 {
     const RandomSource random = seededRandom(seed);
     Rule rule;
@@ -140,7 +140,8 @@
     int wrong = 0;
     double attempts = 0;
     for (int i = 0; i < Runs; ++i) {
-        const Outcome out = watch<Rule>(it.fault, seed * 1000 + static_cast<std::uint64_t>(i));
+        const Outcome out =
+                runUntilEjection<Rule>(it.fault, seed * 1000 + static_cast<std::uint64_t>(i));
         found += out.found > 0 ? 1 : 0;
         wrong += out.wrong ? 1 : 0;
         attempts += std::max(0, out.found);
--- a/bench/measure/PlacementEngine.cpp
+++ b/bench/measure/PlacementEngine.cpp
@@ -18,7 +18,7 @@
 {
     found = 0;
     if (const auto it = m_byChat.find(job.chat); it != m_byChat.end()) {
-        found = std::min(it->second->second, job.known);
+        found = std::min(it->second->second, job.sharedPrefix);
         m_cached -= it->second->second;
         m_cache.erase(it->second);
     }
--- a/bench/measure/PlacementEngine.h
+++ b/bench/measure/PlacementEngine.h
@@ -18,7 +18,7 @@
     int workspace = 0;
     std::uint64_t chat = 0;
     double prompt = 0; ///< Tokens.
-    double known = 0; ///< Of these, tokens that an earlier turn of the chat had.
+    double sharedPrefix = 0; ///< Of these, tokens that an earlier turn of the chat had.
     double output = 0; ///< Tokens.
     TimePoint arrived;
     int engine = -1;
@@ -74,7 +74,7 @@
     Options m_options;
     std::deque<SimulatedJob *> m_waiting;
     int m_running = 0;
-    std::list<std::pair<std::uint64_t, double>> m_cache; ///< Most recently used first.
+    std::list<std::pair<std::uint64_t, double>> m_cache; ///< MaxUpstreams recently used first.
     std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, double>>::iterator>
             m_byChat;
     double m_cached = 0;
--- a/bench/measure/PlacementMeasure.cpp
+++ b/bench/measure/PlacementMeasure.cpp
@@ -12,8 +12,8 @@
 constexpr std::string_view Policies[] = {"ours",           "engine_owner",   "local_share",
                                          "lagged_reports", "round_robin",    "rendezvous",
                                          "two_choices",    "least_in_flight"};
-constexpr std::string_view OwnVariants[] = {"ours", "engine_owner", "local_share",
-                                            "lagged_reports"};
+constexpr std::string_view DispatcherPolicies[] = {"ours", "engine_owner", "local_share",
+                                                   "lagged_reports"};
 constexpr std::string_view Classes[] = {"large", "small", "protected"};
 
 struct Deployment
@@ -135,7 +135,7 @@
                                              .seconds = 25,
                                              .seed = seed};
         const double oracle = runOracle(options, "large", report);
-        for (const std::string_view policy : OwnVariants) {
+        for (const std::string_view policy : DispatcherPolicies) {
             options.policy = policy;
             const auto results = PlacementSimulation(options).run();
             RunReport(report, "large", options).print(results, oracle);
--- a/bench/measure/PlacementPolicy.cpp
+++ b/bench/measure/PlacementPolicy.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-int numberIn(std::string_view name)
+int parseIndex(std::string_view name)
 {
     int out = 0;
     const std::string_view digits = name.substr(1);
@@ -54,9 +54,10 @@
             if (!result)
                 done(-1, -1, true);
             else if (result.value().relayed)
-                done(numberIn(result.value().upstream), numberIn(result.value().address), false);
+                done(parseIndex(result.value().upstream), parseIndex(result.value().address),
+                     false);
             else
-                done(numberIn(result.value().upstream), -1, false);
+                done(parseIndex(result.value().upstream), -1, false);
         });
     }
 
@@ -74,7 +75,7 @@
         m_dispatcher.setEngines(inventory, "m");
     }
 
-    void hear(std::span<const double>, std::span<const LoadReport> reports) override
+    void updateLoads(std::span<const double>, std::span<const LoadReport> reports) override
     {
         if (m_reports)
             m_dispatcher.addLoadReports(reports);
@@ -127,7 +128,7 @@
         }
     }
 
-    void hear(std::span<const double> loads, std::span<const LoadReport>) override
+    void updateLoads(std::span<const double> loads, std::span<const LoadReport>) override
     {
         m_loads.assign(loads.begin(), loads.end());
     }
@@ -175,10 +176,10 @@
 
 std::unique_ptr<PlacementPolicy> makePlacementPolicy(const PlacementPolicyOptions &options)
 {
-    const bool own = options.name == "ours" || options.name == "oracle"
+    const bool usesDispatcher = options.name == "ours" || options.name == "oracle"
             || options.name == "engine_owner" || options.name == "local_share"
             || options.name == "lagged_reports";
-    if (own)
+    if (usesDispatcher)
         return std::make_unique<DispatcherPolicy>(options);
     return std::make_unique<BaselinePolicy>(options);
 }
--- a/bench/measure/PlacementPolicy.h
+++ b/bench/measure/PlacementPolicy.h
@@ -25,7 +25,8 @@
     virtual void setInventory(const InventoryPtr &inventory) = 0;
 
     /// \brief Takes over what all routers were told; each policy uses what it knows of.
-    virtual void hear(std::span<const double> engineLoads, std::span<const LoadReport> reports) = 0;
+    virtual void updateLoads(std::span<const double> engineLoads,
+                             std::span<const LoadReport> reports) = 0;
     virtual std::vector<LoadReport> report() { return {}; }
     virtual void poll() { }
 };
--- a/bench/measure/PlacementSimulation.cpp
+++ b/bench/measure/PlacementSimulation.cpp
@@ -113,19 +113,19 @@
         after(2 * third, [this] { m_engines[0].slowness = 1; });
     }
     if (s.flapping)
-        every(5, [this] { toggleEngine(0, !m_engines[0].leaving); });
+        every(5, [this] { setEngineLeaving(0, !m_engines[0].leaving); });
     if (s.leavesPerMinute > 0) {
         every(60.0 / s.leavesPerMinute, [this] {
             const int it = static_cast<int>(below(m_random, m_engines.size()));
             if (m_engines[static_cast<std::size_t>(it)].leaving)
                 return;
-            toggleEngine(it, true);
-            after(30, [this, it] { toggleEngine(it, false); });
+            setEngineLeaving(it, true);
+            after(30, [this, it] { setEngineLeaving(it, false); });
         });
     }
 }
 
-void PlacementSimulation::toggleEngine(int engine, bool leaving)
+void PlacementSimulation::setEngineLeaving(int engine, bool leaving)
 {
     PlacementEngine &it = m_engines[static_cast<std::size_t>(engine)];
     it.leaving = leaving;
@@ -133,10 +133,10 @@
         it.clearCache();
         it.returnedAt = m_clock.now();
     }
-    spreadInventory();
+    propagateInventory();
 }
 
-void PlacementSimulation::spreadInventory()
+void PlacementSimulation::propagateInventory()
 {
     const InventoryPtr inventory = makeInventory();
     for (const auto &router : m_routers) {
@@ -200,7 +200,7 @@
     }
     Chat &chat = chats[below(m_random, chats.size())];
     job.chat = chat.id;
-    job.known = chat.tokens;
+    job.sharedPrefix = chat.tokens;
     job.prompt = chat.tokens + 100;
     chat.tokens = std::min(16'000.0, job.prompt + job.output);
 }
@@ -272,10 +272,10 @@
         job->slotTime = it.serve(*job, found);
         if (isMeasured()) {
             classOf(*job).waits.push_back(toSeconds(m_clock.now() - job->arrived));
-            m_results.returningTokens += job->known;
+            m_results.returningTokens += job->sharedPrefix;
             m_results.foundTokens += found;
         }
-        m_secondReturning += job->known;
+        m_secondReturning += job->sharedPrefix;
         m_secondFound += found;
         after(job->slotTime, [this, job] { finish(job); });
     }
@@ -306,14 +306,16 @@
         m_results.reportEntries += reports.back().size();
     }
     for (std::size_t to = 0; to < m_routers.size(); ++to) {
-        std::vector<LoadReport> heard;
+        std::vector<LoadReport> receivedReports;
         for (std::size_t from = 0; from < reports.size(); ++from) {
             if (from != to && uniform(m_lossRandom) >= m_options.scenario.reportLoss)
-                heard.insert(heard.end(), reports[from].begin(), reports[from].end());
+                receivedReports.insert(receivedReports.end(), reports[from].begin(),
+                                       reports[from].end());
         }
-        after(ReportDelay, [it = m_routers[to].get(), loads, heard = std::move(heard)] {
-            it->hear(loads, heard);
-        });
+        after(ReportDelay,
+              [it = m_routers[to].get(), loads, receivedReports = std::move(receivedReports)] {
+                  it->updateLoads(loads, receivedReports);
+              });
     }
 }
 
--- a/bench/measure/PlacementSimulation.h
+++ b/bench/measure/PlacementSimulation.h
@@ -44,7 +44,8 @@
     {
         std::vector<double> skews; ///< Largest over mean load, ten times a second.
         std::vector<double> reuses; ///< Of every second; below 0 where nobody returned.
-        double excess = 0; ///< Most load over bound plus own work at a placement, in mean loads.
+        double excess =
+                0; ///< MaxUpstreams load over bound plus own work at a placement, in mean loads.
         std::uint64_t placements = 0;
         std::uint64_t overBound = 0;
         double returningTokens = 0;
@@ -83,8 +84,8 @@
     void exchangeReports();
     void sample();
     void checkBound(const SimulatedJob &job);
-    void toggleEngine(int engine, bool leaving);
-    void spreadInventory();
+    void setEngineLeaving(int engine, bool leaving);
+    void propagateInventory();
     void scheduleFaults();
     InventoryPtr makeInventory();
     int pickWorkspace();
--- a/soak/SoakCheck.cpp
+++ b/soak/SoakCheck.cpp
@@ -136,8 +136,8 @@
     }
 }
 
-/// Checks that a router sends almost nothing to a replica during a pause that the replica asked
-/// for.
+/// Checks that a router sends at most MaxRequestsInPause requests to a replica during a pause that
+/// the replica asked for.
 void checkPauses(const std::map<std::string, Attempt> &attempts,
                  const std::vector<Json::Value> &arrivals, const RunHistory &history,
                  const std::function<void(std::string)> &broken)
