--- a/bench/PlacementBench.cpp
+++ b/bench/PlacementBench.cpp
@@ -23,7 +23,7 @@
     return out;
 }
 
-/// One placement in a pool that carries one job an engine, and its end.
+/// Starts and stops one job in a pool that runs one job per engine.
 void placementUnderLoad(benchmark::State &state)
 {
     const ManualClock clock;
@@ -48,7 +48,7 @@
 }
 BENCHMARK(placementUnderLoad)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// Only the first place of a chat's order.
+/// Looks up only the first engine in a chat's order.
 void chatOrder(benchmark::State &state)
 {
     std::vector<ChatOrder::Node> nodes;
@@ -62,7 +62,7 @@
 }
 BENCHMARK(chatOrder)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// The way that was weighed against it: a score for every node.
+/// The alternative to ChatOrder: rendezvous hashing that computes a score for every node.
 void plainRendezvous(benchmark::State &state)
 {
     std::uint64_t key = 0;
@@ -76,7 +76,7 @@
 }
 BENCHMARK(plainRendezvous)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// What a change of the pool costs.
+/// The cost of a change of the pool.
 void rebuild(benchmark::State &state)
 {
     const ManualClock clock;
--- a/bench/demo/Figures.h
+++ b/bench/demo/Figures.h
@@ -5,13 +5,13 @@
 
 namespace catkinloft::demo {
 
-/// \brief What the demo prints: a table for a person or one JSON line a figure.
+/// \brief The figures of the demo, printed as a table or as one JSON line per figure.
 class Figures
 {
 public:
     void add(std::string name, double value, std::string unit);
 
-    /// \param deployment named in each JSON line.
+    /// \param deployment name of the deployment, contained in each JSON line.
     void print(bool json, const std::string &deployment) const;
 
 private:
--- a/bench/demo/RawLoad.cpp
+++ b/bench/demo/RawLoad.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The share of one thread, with its own loop and connections.
+/// The part of the load that one thread sends, with its own event loop and connections.
 class Sender
 {
 public:
@@ -27,7 +27,7 @@
     void run()
     {
         for (int i = 0; i < m_options.connectionsEach; ++i) {
-            // Spread over one interval, so that paced connections don't send in step.
+            // Distributed over one interval, so that connections with a rate don't send in bursts.
             m_loop.after(m_interval * i / m_options.connectionsEach,
                          [this] { send(m_loop.now()); });
         }
@@ -35,9 +35,8 @@
     }
 
 private:
-    /// \param due when the request should have left. It lies in the past where the answer before
-    /// came late, which then counts as latency; a timer that fires late is the sender's own fault
-    /// and does not.
+    /// \param due scheduled time of the request. It is in the past if the previous answer was late;
+    /// this delay counts as latency. The delay of a late timer does not, as the sender causes it.
     void send(TimePoint due)
     {
         if (m_loop.now() >= m_end) {
--- a/bench/demo/RawLoad.h
+++ b/bench/demo/RawLoad.h
@@ -8,8 +8,8 @@
 
 namespace catkinloft::demo {
 
-/// \brief Sends the same call over and over on many connections, as fast as answers come or at a
-/// set rate.
+/// \brief Sends the same call repeatedly on many connections, either as fast as answers arrive or
+/// at a given rate.
 class RawLoad
 {
 public:
@@ -18,16 +18,16 @@
         HttpCall call;
         int threads = 3;
         int connectionsEach = 16;
-        double rate = 0; ///< Requests a second of all threads; 0: as fast as answers come.
+        double rate = 0; ///< Requests per second over all threads; 0: unlimited.
         Duration duration = std::chrono::seconds(3);
-        pid_t server = 0; ///< Whose processor time is read.
+        pid_t server = 0; ///< Process whose processor time is measured.
     };
 
     struct Outcome
     {
-        double rate = 0; ///< Answers with status 200 a second.
+        double rate = 0; ///< Answers with status 200 per second.
         int failures = 0;
-        double coreShare = 0; ///< Processor time of the server over the time that passed.
+        double coreShare = 0; ///< Processor time of the server divided by elapsed time.
         Duration p50 = Duration::zero();
         Duration p99 = Duration::zero();
     };
--- a/bench/demo/main.cpp
+++ b/bench/demo/main.cpp
@@ -10,14 +10,14 @@
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
-DEFINE_string(deployment, "sofiyska", "whose sizes are used: sofiyska or fraserlight");
-DEFINE_bool(json, false, "one JSON line a figure instead of a table");
-DEFINE_bool(kill_router, false, "kills a router in the middle");
-DEFINE_bool(faults, false, "brings about one fault after another while requests are sent");
-DEFINE_bool(raw, true, "also measures what one router adds to a call");
+DEFINE_string(deployment, "sofiyska", "deployment whose sizes are used: sofiyska or fraserlight");
+DEFINE_bool(json, false, "prints one JSON line per figure instead of a table");
+DEFINE_bool(kill_router, false, "kills a router during the run");
+DEFINE_bool(faults, false, "injects one fault after another while requests are sent");
+DEFINE_bool(raw, true, "also measures the latency that one router adds to a call");
 DEFINE_uint64(seed, 1, "seed of every random choice of the callers");
-DEFINE_int32(callers, 100, "returning callers");
-DEFINE_int32(requests_each, 22, "requests of one caller");
+DEFINE_int32(callers, 100, "number of callers");
+DEFINE_int32(requests_each, 22, "number of requests of each caller");
 
 namespace catkinloft::demo {
 
@@ -36,7 +36,8 @@
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
 }
 
-/// One fault every two seconds, each over before the next, while callers go on.
+/// Schedules faults one after the other, each reverted before the next begins, while callers
+/// continue to send requests.
 void scheduleFaults(Fleet &fleet, LoadDriver &driver)
 {
     using namespace std::chrono_literals;
@@ -83,7 +84,7 @@
                        .maxPause = std::chrono::milliseconds(FLAGS_faults ? 900 : 300)});
     if (FLAGS_kill_router) {
         driver.at(std::chrono::seconds(2), [&] { fleet.router(0).signal(SIGKILL); });
-        // The platform's list lags.
+        // The platform updates its list of VMs with a delay.
         driver.at(std::chrono::seconds(5), [&] { fleet.publishVms({0}); });
     }
     if (FLAGS_faults)
@@ -96,7 +97,8 @@
     return report;
 }
 
-/// What one router adds, beside the same calls sent straight to the same stand-ins.
+/// Measures the latency that one router adds, against the same calls sent directly to the same
+/// stand-ins.
 void measureRouter(Deployment deployment, Figures &out)
 {
     deployment.routers = 1;
@@ -152,7 +154,8 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("runs one of the two deployments with stand-ins and counts promises");
+    gflags::SetUsageMessage(
+            "runs one of the two deployments with stand-ins and counts violated guarantees");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     catkinloft::Log::setLevel(catkinloft::LogLevel::Error);
--- a/bench/hotpath/ClosedLoop.h
+++ b/bench/hotpath/ClosedLoop.h
@@ -7,20 +7,20 @@
 
 namespace catkinloft::bench {
 
-/// \brief What a run of calls came to.
+/// \brief The results of a run of calls.
 struct RunResult
 {
     std::size_t done = 0;
     std::size_t failed = 0;
     std::size_t bytes = 0;
     Duration length = Duration::zero();
-    std::vector<double> latencies; ///< Seconds.
+    std::vector<double> latencies; ///< In seconds.
 
-    /// \returns the latency that a share \a q of the calls stayed under, in seconds.
+    /// \returns the \a q quantile of the latencies, in seconds.
     double quantile(double q);
 };
 
-/// \brief Keeps a number of calls in progress until a time or a count is reached.
+/// \brief Keeps a constant number of calls in progress until a time or a total count is reached.
 class ClosedLoop
 {
 public:
@@ -29,7 +29,7 @@
         HttpCall call;
         int inProgress = 64;
         Duration length = std::chrono::hours(1);
-        std::size_t calls = static_cast<std::size_t>(-1); ///< Started at most.
+        std::size_t calls = static_cast<std::size_t>(-1); ///< Maximum number of calls.
     };
 
     explicit ClosedLoop(Options options);
--- a/bench/hotpath/HotPath.cpp
+++ b/bench/hotpath/HotPath.cpp
@@ -29,7 +29,7 @@
                .serviceFlags = {"--service_ms=0"}})
 {
     m_fleet.start();
-    // The bench is about the path, not about admission: room for all that it opens.
+    // Enough slots for every request, so that admission control does not affect the measurement.
     std::string inventory = m_fleet.inventory();
     const std::size_t at = inventory.find("model: planning");
     inventory.insert(at, "slots: 4096, ");
@@ -39,7 +39,7 @@
 HttpCall HotPath::make(const std::string &address, const std::string &kind, int tokens) const
 {
     HttpCall call{.address = address,
-                  .method = "PUT", // Idempotent by the fleet's inventory: needs no claim.
+                  .method = "PUT", // Idempotent according to the inventory: needs no claim.
                   .target = "/services/dispatch/orders",
                   .headers = {{"Authorization", "Bearer " + Fleet::workspaceKey(0)}},
                   .body = R"({"order":1})",
--- a/bench/hotpath/HotPath.h
+++ b/bench/hotpath/HotPath.h
@@ -8,7 +8,7 @@
 
 namespace catkinloft::bench {
 
-/// \brief One router, one engine and one replica as real processes, and calls to drive them.
+/// \brief Runs one router, one engine and one replica as real processes and creates calls to them.
 class HotPath
 {
 public:
@@ -20,7 +20,7 @@
     /// \returns a call of \a kind (`call`, `chat` or `stream`) through the router.
     HttpCall routed(const std::string &kind, int tokens) const;
 
-    /// \returns the same straight to the upstream.
+    /// \returns the same call, sent directly to the upstream.
     HttpCall direct(const std::string &kind, int tokens) const;
 
 private:
@@ -30,7 +30,8 @@
 };
 
 /// \brief Measures how the router's costs grow with requests, tokens and open streams, and prints
-/// the slopes. \returns whether every request succeeded.
+/// the slopes.
+/// \returns whether every request succeeded.
 bool measureSlopes();
 
 } // namespace catkinloft::bench
--- a/bench/hotpath/Slopes.cpp
+++ b/bench/hotpath/Slopes.cpp
@@ -16,12 +16,12 @@
 constexpr std::array<std::size_t, 4> CallCounts = {5'000, 10'000, 20'000, 40'000};
 constexpr std::array<int, 4> TokenCounts = {32, 128, 256, 512};
 constexpr std::size_t StreamsPerPoint = 400;
-constexpr double SpacedTokenMs = 10; ///< Wide enough that no two tokens share a read.
+constexpr double SpacedTokenMs = 10; ///< Long enough that no read returns two tokens.
 constexpr int SpacedTokens = 100;
 constexpr std::array<std::size_t, 4> SpacedStreams = {100, 200, 400, 800};
 constexpr std::array<std::size_t, 4> OpenStreams = {250, 500, 1'000, 2'000};
 
-/// Processor time of the router for a run, in seconds.
+/// \returns the processor time that the router uses for a run, in seconds.
 double routerSeconds(HotPath &path, ClosedLoop::Options options, std::size_t &failed)
 {
     const Duration before = processorTime(path.routerPid());
@@ -59,7 +59,7 @@
     return failed;
 }
 
-/// Tokens that come one by one, as engines send them: each is an event of its own.
+/// Measures tokens that arrive one at a time, as engines send them; each causes a separate event.
 std::size_t measureSpacedTokens()
 {
     HotPath path(SpacedTokenMs);
@@ -77,7 +77,8 @@
     return failed;
 }
 
-/// Opens streams one after the other and reads the router's memory when all have their first token.
+/// Opens streams one after the other and keeps them open. Returns from openUpTo() when all streams
+/// have been answered.
 class StreamHolder
 {
 public:
@@ -113,7 +114,7 @@
 
 std::size_t measureStreams()
 {
-    // A token now and then: the streams are open but idle.
+    // One token per second: the streams are open but almost idle.
     HotPath path(1'000);
     StreamHolder holder(path.routed("stream", 100'000));
     std::vector<Point> points;
--- a/bench/hotpath/main.cpp
+++ b/bench/hotpath/main.cpp
@@ -6,12 +6,12 @@
 
 #include <gflags/gflags.h>
 
-DEFINE_int32(connections, 64, "requests in progress at a time");
+DEFINE_int32(connections, 64, "number of concurrent requests");
 DEFINE_double(seconds, 4, "length of each run");
-DEFINE_string(kind, "call", "call: plain calls; chat: whole chats; stream: streamed chats");
-DEFINE_int32(tokens, 64, "chat and stream: tokens of an answer");
+DEFINE_string(kind, "call", "call: plain calls; chat: non-streamed chats; stream: streamed chats");
+DEFINE_int32(tokens, 64, "chat and stream: tokens per answer");
 DEFINE_double(token_ms, 0, "chat and stream: milliseconds between two tokens");
-DEFINE_bool(slopes, false, "how costs grow, for docs/CAPACITY.md, instead of one run");
+DEFINE_bool(slopes, false, "measures how costs grow, for docs/CAPACITY.md, instead of one run");
 
 namespace catkinloft::bench {
 
@@ -66,7 +66,7 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("drives one router as fast as it goes, beside direct calls");
+    gflags::SetUsageMessage("measures the highest rate of one router, and that of direct calls");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     if (FLAGS_slopes)
--- a/bench/measure/ClaimsMeasure.cpp
+++ b/bench/measure/ClaimsMeasure.cpp
@@ -15,12 +15,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration StoreLatency = 2ms; ///< From a transaction to its answer.
-constexpr Duration ServiceTime = 20ms; ///< From a granted claim to the service's answer.
+constexpr Duration StoreLatency = 2ms; ///< Time from a transaction to its answer.
+constexpr Duration ServiceTime = 20ms; ///< Time from a granted claim to the service's answer.
 constexpr Duration Step = 500us;
 constexpr Duration Length = 10s;
 
-/// Answers every transaction after StoreLatency; checks versions like the real one.
+/// Answers every transaction after StoreLatency and checks versions as the real store does.
 class DelayedTable final : public TableService
 {
 public:
@@ -85,7 +85,7 @@
     }
 };
 
-/// Calls that arrive at random, spread over some routers.
+/// Poisson arrivals of calls, distributed over the routers at random.
 class Load
 {
 public:
@@ -128,7 +128,7 @@
         return static_cast<double>(m_table.commits) / static_cast<double>(m_waits.size());
     }
 
-    /// \returns the added time that a share \a q of the calls does not exceed, in milliseconds.
+    /// \returns the \a q quantile of the time that a claim adds to a call, in milliseconds.
     double addedTime(double q)
     {
         std::sort(m_waits.begin(), m_waits.end());
--- a/bench/measure/ControlMeasure.cpp
+++ b/bench/measure/ControlMeasure.cpp
@@ -14,10 +14,11 @@
 using fakes::inventoryText;
 using fakes::PeerGroup;
 
-/// Changes a second at 25,000 a day.
+/// Changes per second at 25,000 changes per day.
 constexpr double ChangeRate = 25'000.0 / 86'400;
 
-/// Small, since all routers of the group parse it; a delta costs the same at any size.
+/// Small because every router of the group parses the inventory; the cost of a delta does not
+/// depend on its size.
 constexpr int Engines = 12;
 
 constexpr int Changes = 30;
@@ -80,8 +81,8 @@
     return group.runUntil([&] { return done; }, 5s);
 }
 
-/// Seconds from a commit until each router has it, at the daily rate of changes, and what the
-/// routers send meanwhile.
+/// Measures the time from a commit until each router has it, at ChangeRate, and the traffic that
+/// the routers send during the run.
 void measurePropagation(const Scenario &it, PeerGroup &group)
 {
     const RandomSource random = seededRandom(it.seed + 17);
@@ -112,7 +113,7 @@
             }
             return n == group.size();
         };
-        // Looked at every 5 ms, as looking after each event would cost more than the run.
+        // Checked every 5 ms, because a check after each event would cost more than the run.
         while (!all() && group.clock().now() < start + 20s)
             group.run(5ms);
         longest = std::max(longest, toSeconds(group.clock().now() - start));
@@ -150,7 +151,8 @@
     it.reportFigure("detect_s", quantile(took, 1), "s", "max of all routers knowing");
 }
 
-/// Everyone is up, so that each death is a false one.
+/// Measures false positives of failure detection: all routers are up, so every detected death is
+/// false.
 void measureSteadyState(const Scenario &it, PeerGroup &group, Duration length)
 {
     std::uint64_t suspicions = 0;
@@ -204,8 +206,8 @@
     }
 }
 
-/// Processor time of what a router does for one change of an inventory at full size. Wall time of
-/// this machine, so a trial figure wherever others run beside it.
+/// Measures the steps of a router for one change of a large inventory. The figures are wall time
+/// and only reliable if no other load runs on the machine.
 void runConfigCost(std::uint64_t seed, const Report &report)
 {
     for (const int engines : {100, 1'000, 10'000}) {
--- a/bench/measure/EngineMeasure.cpp
+++ b/bench/measure/EngineMeasure.cpp
@@ -23,11 +23,11 @@
 constexpr int FullRouters = 890;
 constexpr int FullEngines = 10'000;
 
-/// Bytes of one reading, both ways: 48 asked and 172 answered by an idle engine on loopback, three
-/// TCP headers of 52, and room for longer numbers.
+/// Bytes of one reading in both directions: 48 for the request and 172 for the answer of an idle
+/// engine on loopback, three TCP headers of 52, and a margin for longer numbers.
 constexpr double ReadingBytes = 450;
 
-/// \brief Engines that are in the wanted state and answer at once.
+/// \brief Simulates engines that are in the desired state and answer immediately.
 class IdleEngines final : public EngineClient
 {
 public:
@@ -63,7 +63,7 @@
     std::uint64_t readings = 0;
 };
 
-/// \brief Counts what reaches a table.
+/// \brief Counts the reads and commits that reach a table.
 class CountingTable final : public TableService
 {
 public:
@@ -144,7 +144,8 @@
     return {.size = double(engines), .cost = double(text.size())};
 }
 
-/// Readings of load and cache events by one of \a routers routers, as bytes a second.
+/// \returns the traffic of one of \a routers routers for reading loads and cache events, in bytes
+/// per second.
 Point readingBytes(int engines, int routers)
 {
     ManualClock clock;
@@ -167,7 +168,7 @@
             .cost = double(engineClient.readings) * ReadingBytes / Seconds};
 }
 
-/// \brief All order controllers of a fleet before one table.
+/// \brief The order controllers of all routers of a fleet, which share one table.
 class OrderFleet
 {
 public:
@@ -214,15 +215,15 @@
 
 struct FleetCost
 {
-    double writes = 0; ///< A second, of the whole fleet.
+    double writes = 0; ///< Per second, over the whole fleet.
     double reads = 0;
-    double readings = 0; ///< Of engines' states, a second and router.
+    double readings = 0; ///< Of engines' states, per second and router.
 };
 
 FleetCost orderCost(int routers, int engines, std::uint64_t seed)
 {
     OrderFleet fleet(routers, engines, seed);
-    fleet.advanceBy(60s); // Every lease is taken.
+    fleet.advanceBy(60s); // Until every lease is held.
     fleet.table.writes = fleet.table.reads = fleet.engineClient.readings = 0;
     constexpr double Seconds = 300;
     fleet.advanceBy(fromSeconds(Seconds));
@@ -231,7 +232,7 @@
             .readings = double(fleet.engineClient.readings) / Seconds / routers};
 }
 
-/// Processor time of one router for a revision that changes one engine.
+/// \returns the processor time of one router for a new revision of the inventory.
 Point changeSeconds(int engines)
 {
     constexpr int Changes = 20;
--- a/bench/measure/FakePlatform.h
+++ b/bench/measure/FakePlatform.h
@@ -13,11 +13,11 @@
 
 namespace catkinloft::fakes {
 
-/// \brief What a fake of the platform does to a call.
+/// \brief How a fake platform service handles a call.
 enum class StoreMode {
     Up,
-    Down, ///< Nothing takes effect.
-    LoseAnswers, ///< Commits take effect and their callers don't hear of it.
+    Down, ///< Calls fail and have no effect.
+    LoseAnswers, ///< Commits take effect, but their answers are lost.
 };
 
 using Later = std::function<void(std::function<void()>)>;
@@ -30,7 +30,7 @@
 
     void setMode(StoreMode mode) { m_mode = mode; }
 
-    /// \brief Runs once before the next commit is decided, for races.
+    /// \brief Runs \a it once, before the next commit is decided, to create races.
     void beforeNextCommit(std::function<void()> it) { m_beforeCommit = std::move(it); }
 
     std::size_t reads() const { return m_reads; }
--- a/bench/measure/HealthMeasure.cpp
+++ b/bench/measure/HealthMeasure.cpp
@@ -18,11 +18,11 @@
 constexpr std::size_t Upstreams = 9;
 constexpr int Rounds = 4000; ///< Attempts on each upstream.
 constexpr int FaultAt = 1000;
-constexpr std::size_t Window = 100; ///< Attempts that a percentile is taken of.
+constexpr std::size_t Window = 100; ///< Number of attempts that percentiles are computed from.
 constexpr double MaxRatio = 3;
-constexpr double ShortWork = 1000; ///< Tokens.
+constexpr double ShortWork = 1000; ///< In tokens.
 
-/// One attempt: seconds and tokens; a tenth of the work is long.
+/// The duration of one attempt in seconds and its work in tokens.
 struct Sample
 {
     double seconds;
@@ -38,7 +38,7 @@
     return {.seconds = slowness * spread * (0.3 + work / 8000), .work = work};
 }
 
-/// The plain rule: errors and latency a token against the median of the pool.
+/// HealthTracker's rule: errors, and latency per token compared to the median of the pool.
 class PlainRule
 {
 public:
@@ -68,9 +68,10 @@
     std::array<HealthTracker::Entry, Upstreams> m_entries;
 };
 
-/// The idea of Wang et al., "Topology-Aware Circuit Breaking on Critical Paths in Microservice
-/// Systems": judge only what dominates the time of requests, by its P99 over its P50.
-/// \tparam ShortOnly whether long work, which alone makes the ratio high, is left out.
+/// The rule of Wang et al., "Topology-Aware Circuit Breaking on Critical Paths in Microservice
+/// Systems": checks only the upstream that dominates the time of requests, by the ratio of its P99
+/// to its P50.
+/// \tparam ShortOnly whether long work is ignored, which by itself makes the ratio high.
 template<bool ShortOnly>
 class RatioRule
 {
@@ -104,7 +105,7 @@
 struct Outcome
 {
     int found = -1; ///< Attempts on the slow upstream until it was ejected; -1: never.
-    bool wrong = false; ///< A well one was ejected before.
+    bool wrong = false; ///< A healthy upstream was ejected first.
 };
 
 template<typename Rule>
--- a/bench/measure/InventoryMeasure.cpp
+++ b/bench/measure/InventoryMeasure.cpp
@@ -17,7 +17,7 @@
 constexpr std::array EngineCounts = {1000, 2500, 5000, 10000};
 constexpr int DomainCount = 25;
 
-/// An inventory of the size of the letter's fleet but for the number of engines.
+/// \returns an inventory of the largest supported fleet, except for the number of engines.
 std::string inventoryText(int engines)
 {
     std::string out = "places:\n";
@@ -38,7 +38,7 @@
     return out;
 }
 
-/// Mean over some revisions that each change the weight of one engine.
+/// \returns the mean time over Changes revisions that each change the slots of one engine.
 double secondsOfOneChange(InventoryParser &parser, const std::string &text)
 {
     constexpr int Changes = 10;
@@ -50,7 +50,8 @@
         next.replace(at, 9, fmt::format("slots: {}", 10 + i));
         if (!parser.parse(next, "measure", 2 + std::uint64_t(i), problems)
             || parser.entriesRead() != 1)
-            throw std::runtime_error("a change of one entry was not read as one");
+            throw std::runtime_error(
+                    "the parser did not read exactly one entry for a change of one entry");
     }
     return (processorSeconds() - before) / Changes;
 }
--- a/bench/measure/Measure.h
+++ b/bench/measure/Measure.h
@@ -8,10 +8,10 @@
 
 namespace catkinloft::measure {
 
-/// \brief One figure; printed as one JSON line.
+/// \brief One measured figure, printed as one JSON line.
 struct Figure
 {
-    std::string measure; ///< What was measured, as `skew`.
+    std::string measure; ///< Name of the measured quantity, such as `skew`.
     std::string scenario;
     std::string deployment;
     std::string policy;
@@ -32,14 +32,14 @@
 {
     std::string_view name;
     std::string_view summary;
-    bool slopes; ///< Part of `--slopes`.
+    bool slopes; ///< Whether it runs with `--slopes`.
     std::function<void(std::uint64_t seed, const Report &report)> run;
 };
 
-/// \brief Adds \a subject to the program; meant for a namespace-scope `const bool`.
+/// \brief Registers \a subject; intended to initialize a `const bool` at namespace scope.
 bool registerSubject(Subject subject);
 
-/// \returns all subjects by name.
+/// \returns all subjects, sorted by name.
 std::vector<Subject> subjects();
 
 } // namespace catkinloft::measure
--- a/bench/measure/Slope.h
+++ b/bench/measure/Slope.h
@@ -7,26 +7,27 @@
 
 namespace catkinloft::measure {
 
-/// \brief A size and what it cost.
+/// \brief A size and its measured cost.
 struct Point
 {
     double size = 0;
     double cost = 0;
 };
 
-/// \brief The straight line that fits points best.
+/// \brief A least-squares line through points.
 struct Slope
 {
     double perUnit = 0;
     double fixed = 0; ///< At size 0.
-    double worstResidual = 0; ///< Largest distance of a point, as a share of the largest cost.
+    double worstResidual = 0; ///< Largest absolute residual, as a share of the largest cost.
 };
 
-/// \returns the least-squares line through \a points, of which there are at least two.
+/// \returns the least-squares line through \a points, which must be at least two.
 Slope fitSlope(std::span<const Point> points);
 
 /// \brief Reports each point, the slope, the fixed part and the worst residual under \a measure.
-/// \param unit of the cost; \param per what the size counts.
+/// \param unit unit of the cost.
+/// \param per name of the unit that the size counts.
 void reportSlope(const Report &report, const std::string &measure, std::span<const Point> points,
                  const std::string &unit, const std::string &per, std::uint64_t seed);
 
--- a/bench/measure/main.cpp
+++ b/bench/measure/main.cpp
@@ -5,8 +5,8 @@
 #include <gflags/gflags.h>
 
 DEFINE_uint64(seed, 1, "seed of every random choice");
-DEFINE_bool(slopes, false, "only what docs/CAPACITY.md is worked out from");
-DEFINE_string(subject, "", "only this subject; 'list' prints their names");
+DEFINE_bool(slopes, false, "only the subjects that docs/CAPACITY.md is based on");
+DEFINE_string(subject, "", "runs only this subject; 'list' prints the names of all subjects");
 
 namespace catkinloft::measure {
 
