--- a/bench/measure/PeerGroup.h
+++ b/bench/measure/PeerGroup.h
@@ -20,8 +20,9 @@
 
 namespace catkinloft::fakes {
 
-/// \brief Many routers' membership and configuration in one process under a paused clock, with
-/// seeded delay and loss of datagrams and one fake platform. No other model of a network.
+/// \brief Simulates the membership and configuration of many routers in one process with a manual
+/// clock, one fake platform, and seeded delay and loss of datagrams. Models no other property of a
+/// network.
 class PeerGroup
 {
 public:
@@ -32,8 +33,8 @@
         double loss = 0;
         Duration minDelay = std::chrono::microseconds(500);
         Duration maxDelay = std::chrono::milliseconds(2);
-        /// Of how many messages one is encoded for its size; the others count as the last one of
-        /// their kind. 1 is exact.
+        /// Encodes one of this many messages to determine its size. The others are counted with the
+        /// size of the last encoded message of the same kind and number of updates. 1 is exact.
         int encodeEvery = 1;
         double bytesPerSecond = 3000;
     };
@@ -68,7 +69,7 @@
 
     static std::string nameOf(std::size_t i) { return fmt::format("router-{}", i); }
 
-    /// \brief Adds a router that knows nobody.
+    /// \brief Adds a router that knows no other router.
     Node &add()
     {
         const std::size_t i = m_nodes.size();
@@ -80,7 +81,7 @@
         return out;
     }
 
-    /// \brief Starts router \a i anew, with nothing that it knew.
+    /// \brief Restarts router \a i with empty state.
     void start(std::size_t i)
     {
         Node &it = *m_nodes[i];
@@ -112,7 +113,7 @@
 
     void stop(std::size_t i) { m_nodes[i]->up = false; }
 
-    /// \brief Lets every router know every other, as after a long time.
+    /// \brief Makes all routers known to each other, as in a converged fleet.
     void introduceAll()
     {
         PeerMessage all{.kind = PeerMessageKind::Sync, .from = "list"};
@@ -133,7 +134,7 @@
         return out;
     }
 
-    /// \param blocked says whether a datagram between two routers is lost for sure.
+    /// \param blocked returns whether every datagram from the first to the second router is lost.
     void block(std::function<bool(std::size_t, std::size_t)> blocked)
     {
         m_blocked = std::move(blocked);
@@ -144,7 +145,7 @@
         runUntil([] { return false; }, length);
     }
 
-    /// \returns whether \a condition held within \a limit; looked at after each event.
+    /// \returns whether \a condition became true within \a limit; it is checked after each event.
     bool runUntil(const std::function<bool()> &condition, Duration limit)
     {
         const TimePoint end = m_clock.now() + limit;
@@ -173,7 +174,7 @@
         return n;
     }
 
-    /// \returns whether every router that is up believes \a state of \a name.
+    /// \returns whether every router that is up has \a state as the state of \a name.
     bool allBelieve(const std::string &name, std::optional<MemberState> state) const
     {
         for (const auto &it : m_nodes) {
@@ -201,7 +202,7 @@
         m_events.emplace(m_clock.now() + delay, std::move(it));
     }
 
-    /// \brief Plans the next poll of router \a i after it was used from outside.
+    /// \brief Reschedules the next poll of router \a i after outside calls to it.
     void schedule(std::size_t i)
     {
         Node &it = *m_nodes[i];
--- a/bench/measure/PlacementMeasure.cpp
+++ b/bench/measure/PlacementMeasure.cpp
@@ -36,7 +36,7 @@
     return whole > 0 ? part / whole : 0;
 }
 
-/// Prints the figures of one run.
+/// Reports the figures of one run.
 class RunReport
 {
 public:
@@ -93,7 +93,8 @@
     PlacementSimulation::Options m_options;
 };
 
-/// One router that knows every load at once, under the same bound: what nobody can beat.
+/// Runs one router that knows every load immediately, under the same bound. Its cache reuse is the
+/// reference for the other policies.
 double runOracle(PlacementSimulation::Options options, const std::string &deployment,
                  const Report &report)
 {
@@ -122,8 +123,9 @@
     }
 }
 
-/// Where the count should be kept, as the routers grow in number. Ten engines a router is the
-/// proportion at full size; 900 engines before 890 routers is the worst for a local count.
+/// Compares where load is counted, for growing numbers of routers. The worst case for a local count
+/// is about as many routers as engines, such as 890 routers and 900 engines; a fleet of full size
+/// has ten engines per router.
 void runSizes(std::uint64_t seed, const Report &report)
 {
     constexpr std::pair<int, int> Sizes[] = {{6, 300}, {90, 300}, {300, 300}};
--- a/bench/measure/PlacementPolicy.cpp
+++ b/bench/measure/PlacementPolicy.cpp
@@ -19,8 +19,8 @@
     return out;
 }
 
-/// The product's own decisions. `ours` counts at the engine's owner and hears reports;
-/// `local_share` does neither, `lagged_reports` only hears.
+/// Decides with Dispatcher. `ours` and `engine_owner` count load at the engine's owner and receive
+/// load reports; `local_share` does neither, and `lagged_reports` only receives reports.
 class DispatcherPolicy final : public PlacementPolicy
 {
 public:
@@ -97,7 +97,8 @@
     Dispatcher m_dispatcher;
 };
 
-/// What routers do elsewhere; work waits inside the engines and nothing is refused.
+/// Common load-balancing policies for comparison. Jobs queue inside the engines and none is
+/// refused.
 class BaselinePolicy final : public PlacementPolicy
 {
 public:
@@ -149,7 +150,7 @@
         }
         const std::uint64_t shift = below(m_random, m_live.size());
         return best([&](std::size_t i) {
-            // Ties go to another engine each time.
+            // Random tie-breaking.
             const auto turn = static_cast<double>((i + shift) % m_live.size());
             return -m_inFlight[i] - turn / static_cast<double>(m_live.size() + 1);
         });
@@ -168,7 +169,7 @@
     RandomSource m_random;
     std::uint64_t m_next;
     std::vector<int> m_inFlight;
-    std::vector<double> m_loads; ///< As the engines published them.
+    std::vector<double> m_loads; ///< As published by the engines.
     std::vector<std::size_t> m_live;
 };
 
--- a/bench/measure/PlacementPolicy.h
+++ b/bench/measure/PlacementPolicy.h
@@ -11,11 +11,12 @@
 
 namespace catkinloft::measure {
 
-/// \brief What one router decides in the measurement; one object a router.
+/// \brief The placement decisions of one router in the simulation.
 class PlacementPolicy
 {
 public:
-    /// Called once a job: an engine and, where it goes by its owner, that router; or a refusal.
+    /// Called once per job with an engine, and the owning router if the job is relayed to it (else
+    /// -1), or with a refusal.
     using Decided = std::function<void(int engine, int relayTo, bool refused)>;
 
     virtual ~PlacementPolicy() = default;
@@ -24,7 +25,8 @@
     virtual void finished(const SimulatedJob &job, bool relayed, Duration total) = 0;
     virtual void setInventory(const InventoryPtr &inventory) = 0;
 
-    /// \brief Takes over what all routers were told; each policy uses what it knows of.
+    /// \brief Receives the published loads of engines and the load reports of other routers. Each
+    /// policy uses only those that it supports.
     virtual void updateLoads(std::span<const double> engineLoads,
                              std::span<const LoadReport> reports) = 0;
     virtual std::vector<LoadReport> report() { return {}; }
--- a/bench/measure/PlacementScenario.h
+++ b/bench/measure/PlacementScenario.h
@@ -4,21 +4,21 @@
 
 namespace catkinloft::measure {
 
-/// \brief What happens during one measurement; data only.
+/// \brief The load and faults of one simulation run.
 struct PlacementScenario
 {
     std::string_view name;
-    double load = 0.6; ///< Arrivals as a share of the engines' capacity.
-    double surge = 1; ///< Factor on the arrivals of workspace 0 in the middle third.
+    double load = 0.6; ///< Arriving work as a share of the engines' capacity.
+    double surge = 1; ///< Factor on the arrivals of workspace 0 in the middle third of the run.
     int leavesPerMinute = 0; ///< Engines that leave for half a minute and return empty.
     bool flapping = false; ///< Engine 0 leaves and returns every five seconds.
-    double slowness = 1; ///< Of engine 0, in the middle third.
-    double longShare = 0.1; ///< Chats over long finding aids.
-    double listLag = 0.05; ///< Seconds until the last router knows of a change.
+    double slowness = 1; ///< Factor on the durations of engine 0 in the middle third.
+    double longShare = 0.1; ///< Share of chats with a long first prompt.
+    double listLag = 0.05; ///< Seconds until the last router receives a changed list.
     double reportLoss = 0; ///< Share of reports that are lost.
 };
 
-/// Capacity share 0.6 leaves room for the loss of two engines of nine.
+/// The default load of 0.6 leaves enough capacity for the loss of two engines of nine.
 inline constexpr PlacementScenario PlacementScenarios[] = {
         {.name = "steady"},
         {.name = "surge", .surge = 20},
--- a/bench/measure/PlacementSimulation.cpp
+++ b/bench/measure/PlacementSimulation.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr int Workspaces = 10;
-constexpr int Protected = 2; ///< The last ones.
-constexpr double LargeShare = 0.8; ///< Of the traffic.
-constexpr double WarmUp = 15; ///< Seconds that are not measured.
+constexpr int Protected = 2; ///< Number of protected workspaces, the last ones.
+constexpr double LargeShare = 0.8; ///< Share of the traffic from large workspaces.
+constexpr double WarmUp = 15; ///< Seconds at the start that are not measured.
 constexpr double Deadline = 30;
-constexpr double MessageDelay = 0.0005; ///< One way between failure domains.
+constexpr double MessageDelay = 0.0005; ///< One-way delay between failure domains, in seconds.
 constexpr double ReportPeriod = 1;
-constexpr double ReportDelay = 0.2; ///< Until a report has reached everybody.
-constexpr double MeanSlotTime = 1.3; ///< Seconds of a usual job; only scales arrivals.
+constexpr double ReportDelay = 0.2; ///< Seconds until a report has reached all routers.
+constexpr double MeanSlotTime = 1.3; ///< Of a typical job, in seconds; only scales arrivals.
 constexpr double ReturnShare = 0.75;
-constexpr std::size_t ChatsPerEngine = 4; ///< Of one workspace.
+constexpr std::size_t ChatsPerEngine = 4; ///< For each workspace.
 constexpr double Bound = 1.25;
 constexpr PlacementEngine::Options EngineOptions;
 
@@ -167,7 +167,7 @@
         for (int i = 0; i < copies; ++i) {
             auto job = std::make_unique<SimulatedJob>();
             job->workspace = workspace;
-            // A surge is spread over the gap to the next arrival.
+            // The requests of a surge are distributed over 0.1 s.
             after(uniform(m_random) * (copies > 1 ? 0.1 : 0), [this, it = job.get()] {
                 it->arrived = m_clock.now();
                 fillChat(*it);
--- a/bench/measure/PlacementSimulation.h
+++ b/bench/measure/PlacementSimulation.h
@@ -15,9 +15,9 @@
 
 namespace catkinloft::measure {
 
-/// \brief Many routers and engines in one process under a paused clock.
+/// \brief Simulates many routers and engines in one process with a manual clock.
 ///
-/// It knows message delay and loss, nothing else of networks or machines.
+/// It models the delay and loss of messages, and no other property of networks or machines.
 class PlacementSimulation
 {
 public:
@@ -27,7 +27,7 @@
         PlacementScenario scenario;
         int engines = 9;
         int routers = 6;
-        int largeWorkspaces = 3; ///< Of ten; they make four fifths of the traffic.
+        int largeWorkspaces = 3; ///< Of ten workspaces; they produce four fifths of the traffic.
         double seconds = 90;
         std::uint64_t seed = 1;
     };
@@ -37,24 +37,24 @@
         std::uint64_t arrived = 0;
         std::uint64_t refused = 0;
         std::uint64_t late = 0; ///< Finished after the deadline.
-        std::vector<double> waits; ///< Seconds until a slot.
+        std::vector<double> waits; ///< Times until a slot was assigned, in seconds.
     };
 
     struct Results
     {
-        std::vector<double> skews; ///< Largest over mean load, ten times a second.
-        std::vector<double> reuses; ///< Of every second; below 0 where nobody returned.
+        std::vector<double> skews; ///< Largest load divided by mean load, sampled every 0.1 s.
+        std::vector<double> reuses; ///< Cache reuse in each second; -1 if no chat returned.
         double excess =
                 0; ///< MaxUpstreams load over bound plus own work at a placement, in mean loads.
         std::uint64_t placements = 0;
         std::uint64_t overBound = 0;
         double returningTokens = 0;
         double foundTokens = 0;
-        double usefulSlotTime = 0; ///< Of requests that were in time, in the measured period.
+        double usefulSlotTime = 0; ///< Of requests within the deadline, in the measured period.
         double capacity = 0; ///< Slot seconds in the measured period.
         std::uint64_t relays = 0;
         std::uint64_t reportEntries = 0; ///< Sent by all routers.
-        std::array<ClassResult, 3> classes; ///< Large, small, protected.
+        std::array<ClassResult, 3> classes; ///< Large, small and protected workspaces.
     };
 
     explicit PlacementSimulation(Options options);
@@ -103,8 +103,8 @@
     Options m_options;
     ManualClock m_clock;
     TimePoint m_begin;
-    RandomSource m_random; ///< Of the traffic, the same for every policy.
-    RandomSource m_lossRandom; ///< Of lags and losses.
+    RandomSource m_random; ///< For the traffic, which is the same for every policy.
+    RandomSource m_lossRandom; ///< For delays and losses.
     std::priority_queue<Event> m_events;
     std::uint64_t m_order = 0;
     std::uint64_t m_lastId = 0;
