--- a/bench/hotpath/Slopes.cpp
+++ b/bench/hotpath/Slopes.cpp
@@ -77,8 +77,8 @@
     return failed;
 }
 
-/// Opens streams one after the other and keeps them open. Returns from openUpTo() when all streams
-/// have been answered.
+/// Opens streams one after the other and keeps them open. openUpTo() returns when each stream has
+/// been answered.
 class StreamHolder
 {
 public:
--- a/bench/measure/PlacementEngine.h
+++ b/bench/measure/PlacementEngine.h
@@ -75,7 +75,7 @@
     Options m_options;
     std::deque<SimulatedJob *> m_waiting;
     int m_running = 0;
-    std::list<std::pair<std::uint64_t, double>> m_cache; ///< MaxUpstreams recently used first.
+    std::list<std::pair<std::uint64_t, double>> m_cache; ///< Most recently used first.
     std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, double>>::iterator>
             m_byChat;
     double m_cached = 0;
--- a/bench/measure/PlacementSimulation.h
+++ b/bench/measure/PlacementSimulation.h
@@ -44,8 +44,7 @@
     {
         std::vector<double> skews; ///< Largest load divided by mean load, sampled every 0.1 s.
         std::vector<double> reuses; ///< Cache reuse in each second; -1 if no chat returned.
-        double excess =
-                0; ///< MaxUpstreams load over bound plus own work at a placement, in mean loads.
+        double excess = 0; ///< Largest excess over bound plus own work, in mean loads.
         std::uint64_t placements = 0;
         std::uint64_t overBound = 0;
         double returningTokens = 0;
--- a/soak/SoakRun.h
+++ b/soak/SoakRun.h
@@ -66,11 +66,9 @@
     std::string m_key = standin::EntryFleet::Key;
     int m_keys = 0;
     std::map<std::size_t, int> m_replicaOutages; ///< Pauses and kills in progress, by replica.
-    std::map<std::size_t, std::string>
-            m_pendingFaults; ///< Requested during an outage of the replica.
+    std::map<std::size_t, std::string> m_pendingFaults; ///< Requested during an outage.
     bool m_extraRoute = false;
-    TimePoint
-            m_disturbedUntil; ///< End of the last fault of routers or store. \sa ControlSettleTime
+    TimePoint m_disturbedUntil; ///< End of the last fault of routers or store.
 };
 
 } // namespace catkinloft::soak
