--- a/bench/measure/ClaimsMeasure.cpp
+++ b/bench/measure/ClaimsMeasure.cpp
@@ -202,10 +202,11 @@
     }
 }
 
-const bool Registered = registerSubject({.name = "claims",
-                                         .summary = "what at-most-once costs the store and a call",
-                                         .slopes = false,
-                                         .run = measureClaims});
+const bool Registered =
+        registerSubject({.name = "claims",
+                         .summary = "cost of at-most-once claims for the store and for a call",
+                         .slopes = false,
+                         .run = measureClaims});
 
 } // namespace
 
--- a/bench/measure/ControlMeasure.cpp
+++ b/bench/measure/ControlMeasure.cpp
@@ -18,7 +18,7 @@
 constexpr double ChangeRate = 25'000.0 / 86'400;
 
 /// Small because every router of the group parses the inventory; the cost of a delta does not
-/// depend on its size.
+/// depend on the size of the inventory.
 constexpr int Engines = 12;
 
 constexpr int Changes = 30;
@@ -237,14 +237,14 @@
     }
 }
 
-const bool ControlRegistered =
-        registerSubject({.name = "control",
-                         .summary = "spread of a change, detection of a death, control bytes",
-                         .slopes = true,
-                         .run = &runControl});
+const bool ControlRegistered = registerSubject(
+        {.name = "control",
+         .summary = "propagation of a change, detection of a dead router, control traffic",
+         .slopes = true,
+         .run = &runControl});
 const bool SteadyStateRegistered = registerSubject(
         {.name = "control-quiet",
-         .summary = "false deaths in an hour at 1 % loss (some minutes of run time)",
+         .summary = "false deaths in an hour at 1 % loss (runs for several minutes)",
          .slopes = false,
          .run = &runSteadyState});
 const bool CostRegistered =
--- a/bench/measure/HealthMeasure.cpp
+++ b/bench/measure/HealthMeasure.cpp
@@ -178,10 +178,11 @@
     }
 }
 
-const bool Registered = registerSubject({.name = "health",
-                                         .summary = "rules that find one slow upstream",
-                                         .slopes = false,
-                                         .run = run});
+const bool Registered =
+        registerSubject({.name = "health",
+                         .summary = "comparison of rules that detect one slow upstream",
+                         .slopes = false,
+                         .run = run});
 
 } // namespace
 
--- a/bench/measure/InventoryMeasure.cpp
+++ b/bench/measure/InventoryMeasure.cpp
@@ -17,7 +17,7 @@
 constexpr std::array EngineCounts = {1000, 2500, 5000, 10000};
 constexpr int DomainCount = 25;
 
-/// \returns an inventory of the largest supported fleet, except for the number of engines.
+/// \returns an inventory of a fleet of full size, except for the number of engines.
 std::string inventoryText(int engines)
 {
     std::string out = "places:\n";
--- a/bench/measure/PlacementSimulation.cpp
+++ b/bench/measure/PlacementSimulation.cpp
@@ -183,17 +183,17 @@
 void PlacementSimulation::fillChat(SimulatedJob &job)
 {
     auto &chats = m_chats[static_cast<std::size_t>(job.workspace)];
-    const std::size_t most = ChatsPerEngine * m_engines.size();
+    const std::size_t maxChats = ChatsPerEngine * m_engines.size();
     job.id = ++m_lastId;
     job.output = 60 + 120 * uniform(m_random);
     const bool returns = !chats.empty() && uniform(m_random) < ReturnShare;
     if (!returns) {
         const bool isLong = uniform(m_random) < m_options.scenario.longShare;
         const Chat chat{.id = ++m_lastId, .tokens = isLong ? 8000.0 : 300.0};
-        if (chats.size() < most)
+        if (chats.size() < maxChats)
             chats.push_back(chat);
         else
-            chats[below(m_random, most)] = chat;
+            chats[below(m_random, maxChats)] = chat;
         job.chat = chat.id;
         job.prompt = chat.tokens;
         return;
--- a/soak/SoakLoad.cpp
+++ b/soak/SoakLoad.cpp
@@ -78,27 +78,27 @@
     };
     if (++m_number % RequestsPerResolve == 0)
         resolveRouters();
-    const RequestTemplate &shape =
+    const RequestTemplate &request =
             RequestTemplates[below(m_options.random, RequestTemplates.size())];
     const std::string &address = m_addresses[below(m_options.random, m_addresses.size())];
-    send(shape, fmt::format("s{}", m_number), routerIndexOf(address));
+    send(request, fmt::format("s{}", m_number), routerIndexOf(address));
 }
 
-void SoakLoad::send(const RequestTemplate &shape, const std::string &id, std::size_t router)
+void SoakLoad::send(const RequestTemplate &request, const std::string &id, std::size_t router)
 {
-    m_attempts[id] = {.route = shape.route,
+    m_attempts[id] = {.route = request.route,
                       .key = m_key,
                       .router = router,
                       .sentAt = m_options.loop.wallNow()};
     ++m_inProgress;
     m_client.fetch({.address = m_options.fleet.callerAddress(router),
-                    .method = shape.method,
-                    .target = shape.target,
+                    .method = request.method,
+                    .target = request.target,
                     .headers = {{"Host", standin::EntryFleet::Host},
                                 {"X-Request-Id", id},
                                 {"X-Request-Deadline", "3000"},
                                 {"Authorization", "Bearer " + m_key}},
-                    .body = std::string(shape.body),
+                    .body = std::string(request.body),
                     .timeout = 3500ms},
                    [this, id](const Result<HttpAnswer> &answer) {
                        --m_inProgress;
--- a/soak/SoakLoad.h
+++ b/soak/SoakLoad.h
@@ -75,7 +75,7 @@
     };
 
     void send();
-    void send(const RequestTemplate &shape, const std::string &id, std::size_t router);
+    void send(const RequestTemplate &request, const std::string &id, std::size_t router);
     void resolveRouters();
     std::size_t routerIndexOf(const std::string &address) const;
 
--- a/soak/SoakRun.cpp
+++ b/soak/SoakRun.cpp
@@ -27,7 +27,7 @@
 /// before.
 constexpr Duration ControlSettleTime = 3s;
 
-constexpr int Probes = 12; ///< Requests to each router at the end, of which most must be served.
+constexpr int Probes = 12; ///< Requests to each router at the end; three quarters must be served.
 
 /// Separates the random numbers of domain faults from those of the other faults.
 constexpr std::uint64_t DomainSeed = 0x5EED;
@@ -65,13 +65,14 @@
     Outcome out;
     out.faults = drawFaults(m_random, m_options.length, m_options.routers, 2 * m_options.replicas);
     if (m_options.withReplicaFaults) {
-        const RandomSource own = seededRandom(~m_options.seed);
-        for (const Fault &it : drawReplicaFaults(own, m_options.length, m_options.replicas))
+        const RandomSource faultRandom = seededRandom(~m_options.seed);
+        for (const Fault &it : drawReplicaFaults(faultRandom, m_options.length, m_options.replicas))
             out.faults.push_back(it);
     }
     if (m_options.withDomainFaults) {
-        const RandomSource own = seededRandom(m_options.seed ^ DomainSeed);
-        for (const Fault &it : drawDomainFaults(own, m_options.length, 2 * m_options.replicas))
+        const RandomSource faultRandom = seededRandom(m_options.seed ^ DomainSeed);
+        for (const Fault &it :
+             drawDomainFaults(faultRandom, m_options.length, 2 * m_options.replicas))
             out.faults.push_back(it);
     }
     m_history.domainOf = [this](const std::string &id) { return m_fleet.domainOfId(id); };
