--- a/bench/PlacementBench.cpp
+++ b/bench/PlacementBench.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::int64_t Fewest = 10;
-constexpr std::int64_t Most = 10'000;
+constexpr std::int64_t MinUpstreams = 10;
+constexpr std::int64_t MaxUpstreams = 10'000;
 
 std::vector<Placement::Upstream> upstreams(std::int64_t n)
 {
@@ -23,7 +23,7 @@
     return out;
 }
 
-/// One placement in a pool that carries one job an engine, and its end.
+/// Starts and stops one job in a pool that runs one job per engine.
 void placementUnderLoad(benchmark::State &state)
 {
     const ManualClock clock;
@@ -46,9 +46,9 @@
         oldest = (oldest + 1) % running.size();
     }
 }
-BENCHMARK(placementUnderLoad)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(placementUnderLoad)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// Only the first place of a chat's order.
+/// Looks up only the first engine in a chat's order.
 void chatOrder(benchmark::State &state)
 {
     std::vector<ChatOrder::Node> nodes;
@@ -60,9 +60,9 @@
     for (auto _ : state)
         benchmark::DoNotOptimize(order.at(++key));
 }
-BENCHMARK(chatOrder)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(chatOrder)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// The way that was weighed against it: a score for every node.
+/// The alternative to ChatOrder: rendezvous hashing that computes a score for every node.
 void plainRendezvous(benchmark::State &state)
 {
     std::uint64_t key = 0;
@@ -74,9 +74,9 @@
         benchmark::DoNotOptimize(best);
     }
 }
-BENCHMARK(plainRendezvous)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(plainRendezvous)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
-/// What a change of the pool costs.
+/// The cost of a change of the pool.
 void rebuild(benchmark::State &state)
 {
     const ManualClock clock;
@@ -84,6 +84,6 @@
     for (auto _ : state)
         placement.setUpstreams(upstreams(state.range(0)), Rules());
 }
-BENCHMARK(rebuild)->RangeMultiplier(10)->Range(Fewest, Most);
+BENCHMARK(rebuild)->RangeMultiplier(10)->Range(MinUpstreams, MaxUpstreams);
 
 } // namespace
--- a/bench/measure/ControlMeasure.cpp
+++ b/bench/measure/ControlMeasure.cpp
@@ -14,10 +14,11 @@
 using fakes::inventoryText;
 using fakes::PeerGroup;
 
-/// Changes a second at 25,000 a day.
+/// Changes per second at 25,000 changes per day.
 constexpr double ChangeRate = 25'000.0 / 86'400;
 
-/// Small, since all routers of the group parse it; a delta costs the same at any size.
+/// Small because every router of the group parses the inventory; the cost of a delta does not
+/// depend on the size of the inventory.
 constexpr int Engines = 12;
 
 constexpr int Changes = 30;
@@ -30,8 +31,8 @@
     std::uint64_t seed;
     const Report &report;
 
-    void tell(const char *measure, double value, const char *unit,
-              const char *policy = "swim") const
+    void reportFigure(const char *measure, double value, const char *unit,
+                      const char *policy = "swim") const
     {
         report({.measure = measure,
                 .scenario = fmt::format("loss {:g} %", loss * 100),
@@ -63,7 +64,7 @@
     return out;
 }
 
-std::uint64_t mostBytes(PeerGroup &group, const std::vector<std::uint64_t> &before)
+std::uint64_t maxBytes(PeerGroup &group, const std::vector<std::uint64_t> &before)
 {
     std::uint64_t out = 0;
     for (std::size_t i = 0; i < group.size(); ++i)
@@ -80,9 +81,9 @@
     return group.runUntil([&] { return done; }, 5s);
 }
 
-/// Seconds from a commit until each router has it, at the daily rate of changes, and what the
-/// routers send meanwhile.
-void measureSpread(const Scenario &it, PeerGroup &group)
+/// Measures the time from a commit until each router has it, at ChangeRate, and the traffic that
+/// the routers send during the run.
+void measurePropagation(const Scenario &it, PeerGroup &group)
 {
     const RandomSource random = seededRandom(it.seed + 17);
     std::vector<double> took;
@@ -112,21 +113,21 @@
             }
             return n == group.size();
         };
-        // Looked at every 5 ms, as looking after each event would cost more than the run.
+        // Checked every 5 ms, because a check after each event would cost more than the run.
         while (!all() && group.clock().now() < start + 20s)
             group.run(5ms);
         longest = std::max(longest, toSeconds(group.clock().now() - start));
     }
     const double seconds = toSeconds(group.clock().now() - begin);
-    it.tell("spread_s", quantile(took, 0.5), "s", "p50");
-    it.tell("spread_s", quantile(took, 0.99), "s", "p99");
-    it.tell("spread_s", longest, "s", "max");
+    it.reportFigure("spread_s", quantile(took, 0.5), "s", "p50");
+    it.reportFigure("spread_s", quantile(took, 0.99), "s", "p99");
+    it.reportFigure("spread_s", longest, "s", "max");
     const double mean = static_cast<double>(totalBytes(group) - bytes)
             / static_cast<double>(group.size()) / seconds;
-    it.tell("control_bytes_per_s", mean, "B/s", "mean of routers, with changes");
-    it.tell("control_bytes_per_s", static_cast<double>(mostBytes(group, before)) / seconds, "B/s",
-            "highest router, with changes");
-    it.tell("change_rate", Changes / seconds, "1/s");
+    it.reportFigure("control_bytes_per_s", mean, "B/s", "mean of routers, with changes");
+    it.reportFigure("control_bytes_per_s", static_cast<double>(maxBytes(group, before)) / seconds,
+                    "B/s", "highest router, with changes");
+    it.reportFigure("change_rate", Changes / seconds, "1/s");
 }
 
 void measureDetection(const Scenario &it, PeerGroup &group)
@@ -146,12 +147,13 @@
         group.schedule(victim);
         group.run(20s);
     }
-    it.tell("detect_s", quantile(took, 0.5), "s", "p50 of all routers knowing");
-    it.tell("detect_s", quantile(took, 1), "s", "max of all routers knowing");
+    it.reportFigure("detect_s", quantile(took, 0.5), "s", "p50 of all routers knowing");
+    it.reportFigure("detect_s", quantile(took, 1), "s", "max of all routers knowing");
 }
 
-/// Everyone is up, so that each death is a false one.
-void measureQuiet(const Scenario &it, PeerGroup &group, Duration length)
+/// Measures false positives of failure detection: all routers are up, so every detected death is
+/// false.
+void measureSteadyState(const Scenario &it, PeerGroup &group, Duration length)
 {
     std::uint64_t suspicions = 0;
     std::uint64_t deaths = 0;
@@ -164,12 +166,12 @@
     const std::uint64_t bytes = totalBytes(group);
     group.run(length);
     const std::string span = fmt::format("beliefs in {:g} s", toSeconds(length));
-    it.tell("false_deaths", static_cast<double>(deaths), "count", span.c_str());
-    it.tell("false_suspicions", static_cast<double>(suspicions), "count", span.c_str());
-    it.tell("control_bytes_per_s",
-            static_cast<double>(totalBytes(group) - bytes) / static_cast<double>(group.size())
-                    / toSeconds(length),
-            "B/s", "mean of routers, quiet");
+    it.reportFigure("false_deaths", static_cast<double>(deaths), "count", span.c_str());
+    it.reportFigure("false_suspicions", static_cast<double>(suspicions), "count", span.c_str());
+    it.reportFigure("control_bytes_per_s",
+                    static_cast<double>(totalBytes(group) - bytes)
+                            / static_cast<double>(group.size()) / toSeconds(length),
+                    "B/s", "mean of routers, quiet");
 }
 
 PeerGroup::Options groupOf(const Scenario &it)
@@ -185,13 +187,13 @@
             PeerGroup group(groupOf(it));
             group.introduceAll();
             group.run(20s);
-            measureSpread(it, group);
+            measurePropagation(it, group);
             measureDetection(it, group);
         }
     }
 }
 
-void runQuiet(std::uint64_t seed, const Report &report)
+void runSteadyState(std::uint64_t seed, const Report &report)
 {
     for (const std::size_t routers : {6U, 90U, 890U}) {
         for (const double loss : {0.01, 0.05}) {
@@ -199,13 +201,13 @@
             PeerGroup group(groupOf(it));
             group.introduceAll();
             group.run(20s);
-            measureQuiet(it, group, loss == 0.01 ? Duration(1h) : Duration(10min));
+            measureSteadyState(it, group, loss == 0.01 ? Duration(1h) : Duration(10min));
         }
     }
 }
 
-/// Processor time of what a router does for one change of an inventory at full size. Wall time of
-/// this machine, so a trial figure wherever others run beside it.
+/// Measures the steps of a router for one change of a large inventory. The figures are wall time
+/// and only reliable if no other load runs on the machine.
 void runConfigCost(std::uint64_t seed, const Report &report)
 {
     for (const int engines : {100, 1'000, 10'000}) {
@@ -235,16 +237,16 @@
     }
 }
 
-const bool ControlRegistered =
-        registerSubject({.name = "control",
-                         .summary = "spread of a change, detection of a death, control bytes",
-                         .slopes = true,
-                         .run = &runControl});
-const bool QuietRegistered = registerSubject(
+const bool ControlRegistered = registerSubject(
+        {.name = "control",
+         .summary = "propagation of a change, detection of a dead router, control traffic",
+         .slopes = true,
+         .run = &runControl});
+const bool SteadyStateRegistered = registerSubject(
         {.name = "control-quiet",
-         .summary = "false deaths in an hour at 1 % loss (some minutes of run time)",
+         .summary = "false deaths in an hour at 1 % loss (runs for several minutes)",
          .slopes = false,
-         .run = &runQuiet});
+         .run = &runSteadyState});
 const bool CostRegistered =
         registerSubject({.name = "config-cost",
                          .summary = "processor time of one change of a large inventory",
--- a/bench/measure/FakePlatform.h
+++ b/bench/measure/FakePlatform.h
@@ -13,11 +13,11 @@
 
 namespace catkinloft::fakes {
 
-/// \brief What a fake of the platform does to a call.
+/// \brief How a fake platform service handles a call.
 enum class StoreMode {
     Up,
-    Down, ///< Nothing takes effect.
-    LoseAnswers, ///< Commits take effect and their callers don't hear of it.
+    Down, ///< Calls fail and have no effect.
+    LoseAnswers, ///< Commits take effect, but their answers are lost.
 };
 
 using Later = std::function<void(std::function<void()>)>;
@@ -30,8 +30,8 @@
 
     void setMode(StoreMode mode) { m_mode = mode; }
 
-    /// \brief Runs once before the next commit is decided, for races.
-    void beforeNextCommit(std::function<void()> it) { m_before = std::move(it); }
+    /// \brief Runs \a it once, before the next commit is decided, to create races.
+    void beforeNextCommit(std::function<void()> it) { m_beforeCommit = std::move(it); }
 
     std::size_t reads() const { return m_reads; }
 
@@ -59,7 +59,7 @@
     void commit(TableTransaction transaction, Callback<TableCommit> done) override
     {
         m_later([this, transaction = std::move(transaction), done = std::move(done)] {
-            if (const auto before = std::exchange(m_before, {}))
+            if (const auto before = std::exchange(m_beforeCommit, {}))
                 before();
             if (m_mode == StoreMode::Down) {
                 done(down(Verdict::NotRun));
@@ -108,7 +108,7 @@
 
     Later m_later;
     StoreMode m_mode = StoreMode::Up;
-    std::function<void()> m_before;
+    std::function<void()> m_beforeCommit;
     std::map<std::string, TableRow> m_rows;
     std::uint64_t m_next = 1;
     std::size_t m_reads = 0;
--- a/bench/measure/PlacementPolicy.cpp
+++ b/bench/measure/PlacementPolicy.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-int numberIn(std::string_view name)
+int parseIndex(std::string_view name)
 {
     int out = 0;
     const std::string_view digits = name.substr(1);
@@ -19,8 +19,8 @@
     return out;
 }
 
-/// The product's own decisions. `ours` counts at the engine's owner and hears reports;
-/// `local_share` does neither, `lagged_reports` only hears.
+/// Decides with Dispatcher. `ours` and `engine_owner` count load at the engine's owner and receive
+/// load reports; `local_share` does neither, and `lagged_reports` only receives reports.
 class DispatcherPolicy final : public PlacementPolicy
 {
 public:
@@ -54,9 +54,10 @@
             if (!result)
                 done(-1, -1, true);
             else if (result.value().relayed)
-                done(numberIn(result.value().upstream), numberIn(result.value().address), false);
+                done(parseIndex(result.value().upstream), parseIndex(result.value().address),
+                     false);
             else
-                done(numberIn(result.value().upstream), -1, false);
+                done(parseIndex(result.value().upstream), -1, false);
         });
     }
 
@@ -74,7 +75,7 @@
         m_dispatcher.setEngines(inventory, "m");
     }
 
-    void hear(std::span<const double>, std::span<const LoadReport> reports) override
+    void updateLoads(std::span<const double>, std::span<const LoadReport> reports) override
     {
         if (m_reports)
             m_dispatcher.addLoadReports(reports);
@@ -96,7 +97,8 @@
     Dispatcher m_dispatcher;
 };
 
-/// What routers do elsewhere; work waits inside the engines and nothing is refused.
+/// Common load-balancing policies for comparison. Jobs queue inside the engines and none is
+/// refused.
 class BaselinePolicy final : public PlacementPolicy
 {
 public:
@@ -127,7 +129,7 @@
         }
     }
 
-    void hear(std::span<const double> loads, std::span<const LoadReport>) override
+    void updateLoads(std::span<const double> loads, std::span<const LoadReport>) override
     {
         m_loads.assign(loads.begin(), loads.end());
     }
@@ -148,7 +150,7 @@
         }
         const std::uint64_t shift = below(m_random, m_live.size());
         return best([&](std::size_t i) {
-            // Ties go to another engine each time.
+            // Random tie-breaking.
             const auto turn = static_cast<double>((i + shift) % m_live.size());
             return -m_inFlight[i] - turn / static_cast<double>(m_live.size() + 1);
         });
@@ -167,7 +169,7 @@
     RandomSource m_random;
     std::uint64_t m_next;
     std::vector<int> m_inFlight;
-    std::vector<double> m_loads; ///< As the engines published them.
+    std::vector<double> m_loads; ///< As published by the engines.
     std::vector<std::size_t> m_live;
 };
 
@@ -175,10 +177,10 @@
 
 std::unique_ptr<PlacementPolicy> makePlacementPolicy(const PlacementPolicyOptions &options)
 {
-    const bool own = options.name == "ours" || options.name == "oracle"
+    const bool usesDispatcher = options.name == "ours" || options.name == "oracle"
             || options.name == "engine_owner" || options.name == "local_share"
             || options.name == "lagged_reports";
-    if (own)
+    if (usesDispatcher)
         return std::make_unique<DispatcherPolicy>(options);
     return std::make_unique<BaselinePolicy>(options);
 }
--- a/bench/measure/PlacementSimulation.cpp
+++ b/bench/measure/PlacementSimulation.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr int Workspaces = 10;
-constexpr int Protected = 2; ///< The last ones.
-constexpr double LargeShare = 0.8; ///< Of the traffic.
-constexpr double WarmUp = 15; ///< Seconds that are not measured.
+constexpr int Protected = 2; ///< Number of protected workspaces, the last ones.
+constexpr double LargeShare = 0.8; ///< Share of the traffic from large workspaces.
+constexpr double WarmUp = 15; ///< Seconds at the start that are not measured.
 constexpr double Deadline = 30;
-constexpr double MessageDelay = 0.0005; ///< One way between failure domains.
+constexpr double MessageDelay = 0.0005; ///< One-way delay between failure domains, in seconds.
 constexpr double ReportPeriod = 1;
-constexpr double ReportDelay = 0.2; ///< Until a report has reached everybody.
-constexpr double MeanSlotTime = 1.3; ///< Seconds of a usual job; only scales arrivals.
+constexpr double ReportDelay = 0.2; ///< Seconds until a report has reached all routers.
+constexpr double MeanSlotTime = 1.3; ///< Of a typical job, in seconds; only scales arrivals.
 constexpr double ReturnShare = 0.75;
-constexpr std::size_t ChatsPerEngine = 4; ///< Of one workspace.
+constexpr std::size_t ChatsPerEngine = 4; ///< For each workspace.
 constexpr double Bound = 1.25;
 constexpr PlacementEngine::Options EngineOptions;
 
@@ -113,19 +113,19 @@
         after(2 * third, [this] { m_engines[0].slowness = 1; });
     }
     if (s.flapping)
-        every(5, [this] { toggleEngine(0, !m_engines[0].leaving); });
+        every(5, [this] { setEngineLeaving(0, !m_engines[0].leaving); });
     if (s.leavesPerMinute > 0) {
         every(60.0 / s.leavesPerMinute, [this] {
             const int it = static_cast<int>(below(m_random, m_engines.size()));
             if (m_engines[static_cast<std::size_t>(it)].leaving)
                 return;
-            toggleEngine(it, true);
-            after(30, [this, it] { toggleEngine(it, false); });
+            setEngineLeaving(it, true);
+            after(30, [this, it] { setEngineLeaving(it, false); });
         });
     }
 }
 
-void PlacementSimulation::toggleEngine(int engine, bool leaving)
+void PlacementSimulation::setEngineLeaving(int engine, bool leaving)
 {
     PlacementEngine &it = m_engines[static_cast<std::size_t>(engine)];
     it.leaving = leaving;
@@ -133,10 +133,10 @@
         it.clearCache();
         it.returnedAt = m_clock.now();
     }
-    spreadInventory();
+    propagateInventory();
 }
 
-void PlacementSimulation::spreadInventory()
+void PlacementSimulation::propagateInventory()
 {
     const InventoryPtr inventory = makeInventory();
     for (const auto &router : m_routers) {
@@ -167,7 +167,7 @@
         for (int i = 0; i < copies; ++i) {
             auto job = std::make_unique<SimulatedJob>();
             job->workspace = workspace;
-            // A surge is spread over the gap to the next arrival.
+            // The requests of a surge are distributed over 0.1 s.
             after(uniform(m_random) * (copies > 1 ? 0.1 : 0), [this, it = job.get()] {
                 it->arrived = m_clock.now();
                 fillChat(*it);
@@ -183,24 +183,24 @@
 void PlacementSimulation::fillChat(SimulatedJob &job)
 {
     auto &chats = m_chats[static_cast<std::size_t>(job.workspace)];
-    const std::size_t most = ChatsPerEngine * m_engines.size();
+    const std::size_t maxChats = ChatsPerEngine * m_engines.size();
     job.id = ++m_lastId;
     job.output = 60 + 120 * uniform(m_random);
     const bool returns = !chats.empty() && uniform(m_random) < ReturnShare;
     if (!returns) {
         const bool isLong = uniform(m_random) < m_options.scenario.longShare;
         const Chat chat{.id = ++m_lastId, .tokens = isLong ? 8000.0 : 300.0};
-        if (chats.size() < most)
+        if (chats.size() < maxChats)
             chats.push_back(chat);
         else
-            chats[below(m_random, most)] = chat;
+            chats[below(m_random, maxChats)] = chat;
         job.chat = chat.id;
         job.prompt = chat.tokens;
         return;
     }
     Chat &chat = chats[below(m_random, chats.size())];
     job.chat = chat.id;
-    job.known = chat.tokens;
+    job.sharedPrefix = chat.tokens;
     job.prompt = chat.tokens + 100;
     chat.tokens = std::min(16'000.0, job.prompt + job.output);
 }
@@ -272,10 +272,10 @@
         job->slotTime = it.serve(*job, found);
         if (isMeasured()) {
             classOf(*job).waits.push_back(toSeconds(m_clock.now() - job->arrived));
-            m_results.returningTokens += job->known;
+            m_results.returningTokens += job->sharedPrefix;
             m_results.foundTokens += found;
         }
-        m_secondReturning += job->known;
+        m_secondReturning += job->sharedPrefix;
         m_secondFound += found;
         after(job->slotTime, [this, job] { finish(job); });
     }
@@ -306,14 +306,16 @@
         m_results.reportEntries += reports.back().size();
     }
     for (std::size_t to = 0; to < m_routers.size(); ++to) {
-        std::vector<LoadReport> heard;
+        std::vector<LoadReport> receivedReports;
         for (std::size_t from = 0; from < reports.size(); ++from) {
             if (from != to && uniform(m_lossRandom) >= m_options.scenario.reportLoss)
-                heard.insert(heard.end(), reports[from].begin(), reports[from].end());
+                receivedReports.insert(receivedReports.end(), reports[from].begin(),
+                                       reports[from].end());
         }
-        after(ReportDelay, [it = m_routers[to].get(), loads, heard = std::move(heard)] {
-            it->hear(loads, heard);
-        });
+        after(ReportDelay,
+              [it = m_routers[to].get(), loads, receivedReports = std::move(receivedReports)] {
+                  it->updateLoads(loads, receivedReports);
+              });
     }
 }
 
--- a/fuzz/FuzzEntry.cpp
+++ b/fuzz/FuzzEntry.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// What was decoded must survive its own encoding.
-void roundTripBeat(const std::string &text)
+/// A decoded heartbeat must be unchanged after it is encoded and decoded again.
+void roundTripHeartbeat(const std::string &text)
 {
     static HeartbeatCodec codec;
     const Result<RouterHeartbeat> first = codec.decode(text);
@@ -28,7 +28,8 @@
         std::abort();
 }
 
-/// An entry of any writer names a replica that requests can be sent to, or none.
+/// A replica entry, whoever wrote it, must decode to a replica that requests can be sent to, or be
+/// rejected.
 void readReplicaEntry(const std::string &text)
 {
     const Result<ReplicaRecord> it = platform::decodeReplicaEntry("i-1", text);
@@ -38,11 +39,11 @@
     if (record.slots < 1 || record.startedAt < 0 || record.service.empty()
         || !parseEndpoint(record.address))
         std::abort();
-    const Result<ReplicaUpdate> told =
+    const Result<ReplicaUpdate> decoded =
             ReplicaUpdate::decode(ReplicaUpdate{.replicas = {record}}.encode());
-    if (!told || told.value().replicas.size() != 1
-        || told.value().replicas.front().incarnation() != record.incarnation()
-        || told.value().replicas.front().address != record.address)
+    if (!decoded || decoded.value().replicas.size() != 1
+        || decoded.value().replicas.front().incarnation() != record.incarnation()
+        || decoded.value().replicas.front().address != record.address)
         std::abort();
 }
 
@@ -78,7 +79,7 @@
     if (data[0] == 'r')
         roundTripRouterRow(text);
     else if (data[0] % 3 == 0)
-        roundTripBeat(text);
+        roundTripHeartbeat(text);
     else if (data[0] % 3 == 1)
         readReplicaEntry(text);
     else
