--- a/bench/measure/ControlMeasure.cpp
+++ b/bench/measure/ControlMeasure.cpp
@@ -139,7 +139,7 @@
         group.stop(victim);
         const TimePoint start = group.clock().now();
         const std::string name = PeerGroup::nameOf(victim);
-        while (!group.allBelieve(name, MemberState::Dead) && group.clock().now() < start + 60s)
+        while (!group.allHaveState(name, MemberState::Dead) && group.clock().now() < start + 60s)
             group.run(50ms);
         took.push_back(toSeconds(group.clock().now() - start));
         group.start(victim);
--- a/bench/measure/PeerGroup.h
+++ b/bench/measure/PeerGroup.h
@@ -175,7 +175,7 @@
     }
 
     /// \returns whether every router that is up has \a state as the state of \a name.
-    bool allBelieve(const std::string &name, std::optional<MemberState> state) const
+    bool allHaveState(const std::string &name, std::optional<MemberState> state) const
     {
         for (const auto &it : m_nodes) {
             if (!it->up || it->membership->self().name == name)
--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -61,7 +61,7 @@
 /// Delay after which a caller may retry if no replica was available, and the range of the random
 /// delay added to it so that callers do not retry at the same time.
 constexpr Duration RetryBase = 200ms;
-constexpr Duration RetrySpread = 300ms;
+constexpr Duration RetryJitter = 300ms;
 
 bool isSuccess(int status)
 {
@@ -700,7 +700,7 @@
     // A request that crashes replicas must not be retried at once, even if it may have run.
     const bool isHeld = error.reason == Reason::RequestQuarantined;
     if ((status == 503 || isHeld) && error.retryAfter) {
-        const Duration spread = scaled(RetrySpread, uniform(m_context.random));
+        const Duration spread = scaled(RetryJitter, uniform(m_context.random));
         headers.emplace_back("Retry-After", retryAfterText(*error.retryAfter + spread));
     }
     m_context.metrics.refused(error.reason);
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -55,7 +55,7 @@
                   "membership_vmListNamesDeadAndLacksLiveRouters_doesNotChangeTheView")
 {
     group.stop(4);
-    REQUIRE(group.runUntil([&] { return group.allBelieve("router-4", MemberState::Dead); }, 20s));
+    REQUIRE(group.runUntil([&] { return group.allHaveState("router-4", MemberState::Dead); }, 20s));
     std::vector<VmEntry> wrong = {{.name = "router-4", .peerAddress = group.node(4).address},
                                   {.name = "never-was", .peerAddress = "10.9.9.9:1"}};
     for (std::size_t i = 0; i < group.size(); ++i)
@@ -68,7 +68,7 @@
                   "membership_killedRouter_isDeadEverywhereWithinEightSeconds")
 {
     group.stop(2);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-2", MemberState::Dead); }, 8s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-2", MemberState::Dead); }, 8s));
 }
 
 TEST_CASE_FIXTURE(IntroducedRoutersFixture,
@@ -76,7 +76,7 @@
 {
     group.node(5).membership->leave();
     group.schedule(5);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-5", MemberState::Leaving); }, 1s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-5", MemberState::Leaving); }, 1s));
 }
 
 // Guards against a router that never learns that another one leaves. The update is disseminated
@@ -93,17 +93,17 @@
         group.stop(3);
         group.stop(4);
         const auto bothDead = [&] {
-            return group.allBelieve("router-3", MemberState::Dead)
-                    && group.allBelieve("router-4", MemberState::Dead);
+            return group.allHaveState("router-3", MemberState::Dead)
+                    && group.allHaveState("router-4", MemberState::Dead);
         };
         REQUIRE(group.runUntil(bothDead, 30s));
         group.node(4).up = true;
         group.schedule(4);
-        REQUIRE(group.runUntil([&] { return group.allBelieve("router-4", MemberState::Alive); },
+        REQUIRE(group.runUntil([&] { return group.allHaveState("router-4", MemberState::Alive); },
                                30s));
         group.node(5).membership->leave();
         group.schedule(5);
-        const auto known = [&] { return group.allBelieve("router-5", MemberState::Leaving); };
+        const auto known = [&] { return group.allHaveState("router-5", MemberState::Leaving); };
         if (!group.runUntil(known, 4s))
             late.push_back(seed);
     }
@@ -115,10 +115,10 @@
 {
     group.stop(2);
     group.run(15s);
-    REQUIRE(group.allBelieve("router-2", MemberState::Dead));
+    REQUIRE(group.allHaveState("router-2", MemberState::Dead));
     group.node(2).up = true;
     group.schedule(2);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-2", MemberState::Alive); }, 10s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-2", MemberState::Alive); }, 10s));
     CHECK(everyoneKnows(9));
 }
 
@@ -136,7 +136,7 @@
             if (i != 2 && members.at("router-2").incarnation <= before)
                 return false;
         }
-        return group.allBelieve("router-2", MemberState::Alive);
+        return group.allHaveState("router-2", MemberState::Alive);
     };
     CHECK(group.runUntil(everyoneKnowsTheNewOne, 10s));
 }
--- a/test/PromptUpdatesTest.cpp
+++ b/test/PromptUpdatesTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct PromptNewsFixture
+struct PromptUpdatesFixture
 {
     ManualClock clock;
     PromptUpdates updates{clock};
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PromptNewsFixture,
+TEST_CASE_FIXTURE(PromptUpdatesFixture,
                   "promptUpdates_fleetNeedsSeveralHeartbeats_allOfThemContainThePart")
 {
     updates.note("i-1", prompt);
@@ -28,7 +28,7 @@
     CHECK(updates.take(5, 40).empty());
 }
 
-TEST_CASE_FIXTURE(PromptNewsFixture, "promptUpdates_usedAgainSoon_isNotAnnouncedAgain")
+TEST_CASE_FIXTURE(PromptUpdatesFixture, "promptUpdates_usedAgainSoon_isNotAnnouncedAgain")
 {
     updates.note("i-1", prompt);
     updates.take(1, 40);
@@ -42,7 +42,7 @@
     CHECK(updates.take(1, 40).contains("i-1"));
 }
 
-TEST_CASE_FIXTURE(PromptNewsFixture, "promptUpdates_moreThanAHeartbeatHolds_waitForTheNext")
+TEST_CASE_FIXTURE(PromptUpdatesFixture, "promptUpdates_moreThanAHeartbeatHolds_waitForTheNext")
 {
     for (std::uint64_t i = 0; i < 50; ++i)
         updates.note("i-1", std::array{PromptPart{100 + i, 10}});
