--- a/bench/demo/RawLoad.cpp
+++ b/bench/demo/RawLoad.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// The share of one thread, with its own loop and connections.
+/// The part of the load that one thread sends, with its own event loop and connections.
 class Sender
 {
 public:
     Sender(const RawLoad::Options &options, std::vector<Duration> &latencies, int &failures)
         : m_options(options), m_latencies(latencies), m_failures(failures), m_client(m_loop),
-          m_end(m_loop.now() + options.duration), m_open(options.connectionsEach)
+          m_end(m_loop.now() + options.duration), m_activeConnections(options.connectionsEach)
     {
         if (options.rate > 0) {
             const int all = options.threads * options.connectionsEach;
@@ -27,7 +27,7 @@
     void run()
     {
         for (int i = 0; i < m_options.connectionsEach; ++i) {
-            // Spread over one interval, so that paced connections don't send in step.
+            // Distributed over one interval, so that connections with a rate don't send in bursts.
             m_loop.after(m_interval * i / m_options.connectionsEach,
                          [this] { send(m_loop.now()); });
         }
@@ -35,13 +35,12 @@
     }
 
 private:
-    /// \param due when the request should have left. It lies in the past where the answer before
-    /// came late, which then counts as latency; a timer that fires late is the sender's own fault
-    /// and does not.
+    /// \param due scheduled time of the request. It is in the past if the previous answer was late;
+    /// this delay counts as latency. The delay of a late timer does not, as the sender causes it.
     void send(TimePoint due)
     {
         if (m_loop.now() >= m_end) {
-            if (--m_open == 0)
+            if (--m_activeConnections == 0)
                 m_loop.stop();
             return;
         }
@@ -64,7 +63,7 @@
     EventLoop m_loop;
     HttpClient m_client;
     TimePoint m_end;
-    int m_open;
+    int m_activeConnections;
     Duration m_interval = Duration::zero();
 };
 
--- a/bench/demo/main.cpp
+++ b/bench/demo/main.cpp
@@ -10,14 +10,14 @@
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
-DEFINE_string(deployment, "sofiyska", "whose sizes are used: sofiyska or fraserlight");
-DEFINE_bool(json, false, "one JSON line a figure instead of a table");
-DEFINE_bool(kill_router, false, "kills a router in the middle");
-DEFINE_bool(faults, false, "brings about one fault after another while requests are sent");
-DEFINE_bool(raw, true, "also measures what one router adds to a call");
+DEFINE_string(deployment, "sofiyska", "deployment whose sizes are used: sofiyska or fraserlight");
+DEFINE_bool(json, false, "prints one JSON line per figure instead of a table");
+DEFINE_bool(kill_router, false, "kills a router during the run");
+DEFINE_bool(faults, false, "injects one fault after another while requests are sent");
+DEFINE_bool(raw, true, "also measures the latency that one router adds to a call");
 DEFINE_uint64(seed, 1, "seed of every random choice of the callers");
-DEFINE_int32(callers, 100, "returning callers");
-DEFINE_int32(requests_each, 22, "requests of one caller");
+DEFINE_int32(callers, 100, "number of callers");
+DEFINE_int32(requests_each, 22, "number of requests of each caller");
 
 namespace catkinloft::demo {
 
@@ -36,13 +36,14 @@
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
 }
 
-/// One fault every two seconds, each over before the next, while callers go on.
+/// Schedules faults one after the other, each reverted before the next begins, while callers
+/// continue to send requests.
 void scheduleFaults(Fleet &fleet, LoadDriver &driver)
 {
     using namespace std::chrono_literals;
     driver.at(1s, [&] { fleet.router(0).signal(SIGKILL); });
     driver.at(2s, [&] { fleet.startRouter(0); });
-    driver.at(3s, [&] { fleet.strike(fleet.engineAddress(1), R"({"silent":true})"); });
+    driver.at(3s, [&] { fleet.setProxyFaults(fleet.engineAddress(1), R"({"silent":true})"); });
     driver.at(4s, [&] { fleet.setPlatformMode("table", "down"); });
     driver.at(6s, [&] { fleet.setPlatformMode("table", "lose_answers"); });
     driver.at(7s, [&] { fleet.setPlatformMode("table", "up"); });
@@ -50,10 +51,10 @@
     driver.at(9s, [&] { fleet.startEngine(2); });
     driver.at(10s, [&] { fleet.router(1).signal(SIGSTOP); });
     driver.at(12s, [&] { fleet.router(1).signal(SIGCONT); });
-    driver.at(12s, [&] { fleet.strike(fleet.replicaAddress(0), R"({"lose_answers":3})"); });
+    driver.at(12s, [&] { fleet.setProxyFaults(fleet.replicaAddress(0), R"({"lose_answers":3})"); });
 }
 
-void addPromises(const LoadReport &report, Figures &out)
+void addOutcomeFigures(const LoadReport &report, Figures &out)
 {
     out.add("requests", report.requests, "requests");
     out.add("answered", report.answered, "requests");
@@ -76,27 +77,28 @@
     fleet.start();
     LoadDriver driver({.fleet = fleet,
                        .seed = FLAGS_seed,
-                       .shapes = {RequestShape::StreamedChat, RequestShape::WholeChat,
+                       .shapes = {RequestShape::StreamedChat, RequestShape::NonStreamedChat,
                                   RequestShape::IdempotentCall, RequestShape::NonIdempotentCall},
                        .callers = FLAGS_callers,
                        .requestsEach = FLAGS_requests_each,
                        .maxPause = std::chrono::milliseconds(FLAGS_faults ? 900 : 300)});
     if (FLAGS_kill_router) {
         driver.at(std::chrono::seconds(2), [&] { fleet.router(0).signal(SIGKILL); });
-        // The platform's list lags.
+        // The platform updates its list of VMs with a delay.
         driver.at(std::chrono::seconds(5), [&] { fleet.publishVms({0}); });
     }
     if (FLAGS_faults)
         scheduleFaults(fleet, driver);
     LoadReport report = driver.run();
-    addPromises(report, out);
+    addOutcomeFigures(report, out);
     if (report.promptTokens > 0)
         out.add("cache_reuse", report.cachedTokens / report.promptTokens, "of prompt tokens");
     out.add("skew", report.skew(deployment.engines), "times the mean work");
     return report;
 }
 
-/// What one router adds, beside the same calls sent straight to the same stand-ins.
+/// Measures the latency that one router adds, against the same calls sent directly to the same
+/// stand-ins.
 void measureRouter(Deployment deployment, Figures &out)
 {
     deployment.routers = 1;
@@ -111,22 +113,26 @@
     HttpCall routed = direct;
     routed.address = fleet.routerAddress(0);
     const pid_t router = fleet.router(0).pid();
-    const RawLoad::Outcome most = RawLoad::run({.call = routed, .server = router});
-    const double half = most.rate / 2;
-    const RawLoad::Outcome paced = RawLoad::run({.call = routed, .rate = half, .server = router});
-    const RawLoad::Outcome beside =
+    const RawLoad::Outcome maxLoad = RawLoad::run({.call = routed, .server = router});
+    const double half = maxLoad.rate / 2;
+    const RawLoad::Outcome halfLoad =
+            RawLoad::run({.call = routed, .rate = half, .server = router});
+    const RawLoad::Outcome directLoad =
             RawLoad::run({.call = direct, .rate = half, .server = fleet.replica(0).pid()});
-    out.add("router_rate", most.rate, "requests/s");
-    out.add("router_rate_per_core", most.rate / std::max(0.01, most.coreShare),
+    out.add("router_rate", maxLoad.rate, "requests/s");
+    out.add("router_rate_per_core", maxLoad.rate / std::max(0.01, maxLoad.coreShare),
             "requests/s and core");
-    out.add("router_failures", most.failures + paced.failures + beside.failures, "requests");
-    out.add("half_load_rate", paced.rate, "requests/s");
-    out.add("half_load_routed_p50", toSeconds(paced.p50) * MicrosPerSecond, "us");
-    out.add("half_load_routed_p99", toSeconds(paced.p99) * MicrosPerSecond, "us");
-    out.add("half_load_direct_p50", toSeconds(beside.p50) * MicrosPerSecond, "us");
-    out.add("half_load_direct_p99", toSeconds(beside.p99) * MicrosPerSecond, "us");
-    out.add("half_load_added_p50", toSeconds(paced.p50 - beside.p50) * MicrosPerSecond, "us");
-    out.add("half_load_added_p99", toSeconds(paced.p99 - beside.p99) * MicrosPerSecond, "us");
+    out.add("router_failures", maxLoad.failures + halfLoad.failures + directLoad.failures,
+            "requests");
+    out.add("half_load_rate", halfLoad.rate, "requests/s");
+    out.add("half_load_routed_p50", toSeconds(halfLoad.p50) * MicrosPerSecond, "us");
+    out.add("half_load_routed_p99", toSeconds(halfLoad.p99) * MicrosPerSecond, "us");
+    out.add("half_load_direct_p50", toSeconds(directLoad.p50) * MicrosPerSecond, "us");
+    out.add("half_load_direct_p99", toSeconds(directLoad.p99) * MicrosPerSecond, "us");
+    out.add("half_load_added_p50", toSeconds(halfLoad.p50 - directLoad.p50) * MicrosPerSecond,
+            "us");
+    out.add("half_load_added_p99", toSeconds(halfLoad.p99 - directLoad.p99) * MicrosPerSecond,
+            "us");
 }
 
 int runDemo()
@@ -139,7 +145,7 @@
     figures.print(FLAGS_json, deployment.name);
     for (const std::string &it : report.notes)
         fmt::print(stderr, "broken promise: {}\n", it);
-    return report.brokenPromises() == 0 ? 0 : 1;
+    return report.violationCount() == 0 ? 0 : 1;
 }
 
 } // namespace
@@ -148,7 +154,8 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("runs one of the two deployments with stand-ins and counts promises");
+    gflags::SetUsageMessage(
+            "runs one of the two deployments with stand-ins and counts violated guarantees");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     catkinloft::Log::setLevel(catkinloft::LogLevel::Error);
--- a/bench/measure/EngineMeasure.cpp
+++ b/bench/measure/EngineMeasure.cpp
@@ -23,12 +23,12 @@
 constexpr int FullRouters = 890;
 constexpr int FullEngines = 10'000;
 
-/// Bytes of one reading, both ways: 48 asked and 172 answered by an idle engine on loopback, three
-/// TCP headers of 52, and room for longer numbers.
+/// Bytes of one reading in both directions: 48 for the request and 172 for the answer of an idle
+/// engine on loopback, three TCP headers of 52, and a margin for longer numbers.
 constexpr double ReadingBytes = 450;
 
-/// \brief Engines that are in the wanted state and answer at once.
-class IdleEngines final : public EnginePort
+/// \brief Simulates engines that are in the desired state and answer immediately.
+class IdleEngines final : public EngineClient
 {
 public:
     void readLoad(std::string, Callback<EngineLoad> done) override
@@ -46,7 +46,7 @@
         ++readings;
         done(EngineState{.model = "m", .version = "v1", .adapters = {}, .role = "serve"});
     }
-    void give(std::string, EngineOrder, Callback<OrderAnswer> done) override
+    void sendOrder(std::string, EngineOrder, Callback<OrderAnswer> done) override
     {
         done(OrderAnswer{.applied = true});
     }
@@ -55,7 +55,7 @@
     {
         done(outcome::success());
     }
-    void askWeights(std::string, std::string, Callback<void> done) override
+    void requestWeights(std::string, std::string, Callback<void> done) override
     {
         done(outcome::success());
     }
@@ -63,7 +63,7 @@
     std::uint64_t readings = 0;
 };
 
-/// \brief Counts what reaches a table.
+/// \brief Counts the reads and commits that reach a table.
 class CountingTable final : public TableService
 {
 public:
@@ -134,26 +134,27 @@
 Point digestBytes(int engines, std::uint64_t seed)
 {
     const ManualClock clock;
-    EngineKnowledge knowledge({.clock = clock});
+    EngineTracker tracker({.clock = clock});
     const RandomSource random = seededRandom(seed);
     const std::vector<std::string> names = namesOf("engine", engines);
-    knowledge.setOwned(names);
+    tracker.setOwned(names);
     for (const std::string &it : names)
-        knowledge.noteLoad(it, {.running = 32 * uniform(random), .asOf = clock.wallNow()});
-    const std::string text = EngineDigest::of(knowledge, names, 1.25).encode();
+        tracker.recordLoad(it, {.running = 32 * uniform(random), .asOf = clock.wallNow()});
+    const std::string text = EngineDigest::of(tracker, names, 1.25).encode();
     return {.size = double(engines), .cost = double(text.size())};
 }
 
-/// Readings of load and cache events by one of \a routers routers, as bytes a second.
+/// \returns the traffic of one of \a routers routers for reading loads and cache events, in bytes
+/// per second.
 Point readingBytes(int engines, int routers)
 {
     ManualClock clock;
-    IdleEngines port;
+    IdleEngines engineClient;
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(routers));
     owners.setEngines(namesOf("engine", engines));
-    EngineKnowledge knowledge({.clock = clock});
-    EnginePoller poller({.clock = clock, .engines = port, .knowledge = knowledge});
+    EngineTracker tracker({.clock = clock});
+    EnginePoller poller({.clock = clock, .engines = engineClient, .tracker = tracker});
     std::vector<EnginePoller::Engine> owned;
     for (const std::string &it : owners.owned())
         owned.push_back({.name = it, .address = it});
@@ -163,10 +164,11 @@
         clock.advance(100ms);
         poller.poll();
     }
-    return {.size = double(engines), .cost = double(port.readings) * ReadingBytes / Seconds};
+    return {.size = double(engines),
+            .cost = double(engineClient.readings) * ReadingBytes / Seconds};
 }
 
-/// \brief All order controllers of a fleet before one table.
+/// \brief The order controllers of all routers of a fleet, which share one table.
 class OrderFleet
 {
 public:
@@ -181,17 +183,17 @@
                     .clock = m_clock,
                     .random = seededRandom(seed * 100'000 + i),
                     .table = table,
-                    .engines = port,
+                    .engines = engineClient,
                     .metrics = m_metrics,
                     .self = views[i].name,
-                    .isFirst = [it = m_owners.back().get()](std::uint64_t key) {
-                        return it->isFirst(key);
+                    .isPrimaryFor = [it = m_owners.back().get()](std::uint64_t key) {
+                        return it->isPrimaryFor(key);
                     }}));
             m_controllers.back()->setInventory(inventory);
         }
     }
 
-    void pass(Duration time)
+    void advanceBy(Duration time)
     {
         for (Duration t{}; t < time; t += 500ms) {
             m_clock.advance(500ms);
@@ -202,7 +204,7 @@
     }
 
     CountingTable table;
-    IdleEngines port;
+    IdleEngines engineClient;
 
 private:
     ManualClock m_clock;
@@ -213,24 +215,24 @@
 
 struct FleetCost
 {
-    double writes = 0; ///< A second, of the whole fleet.
+    double writes = 0; ///< Per second, over the whole fleet.
     double reads = 0;
-    double readings = 0; ///< Of engines' states, a second and router.
+    double readings = 0; ///< Of engines' states, per second and router.
 };
 
 FleetCost orderCost(int routers, int engines, std::uint64_t seed)
 {
     OrderFleet fleet(routers, engines, seed);
-    fleet.pass(60s); // Every lease is taken.
-    fleet.table.writes = fleet.table.reads = fleet.port.readings = 0;
+    fleet.advanceBy(60s); // Until every lease is held.
+    fleet.table.writes = fleet.table.reads = fleet.engineClient.readings = 0;
     constexpr double Seconds = 300;
-    fleet.pass(fromSeconds(Seconds));
+    fleet.advanceBy(fromSeconds(Seconds));
     return {.writes = double(fleet.table.writes) / Seconds,
             .reads = double(fleet.table.reads) / Seconds,
-            .readings = double(fleet.port.readings) / Seconds / routers};
+            .readings = double(fleet.engineClient.readings) / Seconds / routers};
 }
 
-/// Processor time of one router for a revision that changes one engine.
+/// \returns the processor time of one router for a new revision of the inventory.
 Point changeSeconds(int engines)
 {
     constexpr int Changes = 20;
@@ -238,18 +240,19 @@
     const std::vector<std::string> names = namesOf("engine", engines);
     ManualClock clock;
     CountingTable table;
-    IdleEngines port;
+    IdleEngines engineClient;
     Metrics metrics;
     EngineOwners owners("router-0");
     owners.setRouters(routersOf(FullRouters));
     owners.setEngines(names);
-    OrderController controller({.clock = clock,
-                                .random = seededRandom(1),
-                                .table = table,
-                                .engines = port,
-                                .metrics = metrics,
-                                .self = "router-0",
-                                .isFirst = [&](std::uint64_t key) { return owners.isFirst(key); }});
+    OrderController controller(
+            {.clock = clock,
+             .random = seededRandom(1),
+             .table = table,
+             .engines = engineClient,
+             .metrics = metrics,
+             .self = "router-0",
+             .isPrimaryFor = [&](std::uint64_t key) { return owners.isPrimaryFor(key); }});
     const double before = processorSeconds();
     for (int i = 0; i < Changes; ++i) {
         owners.setEngines(names);
--- a/bench/measure/PeerGroup.h
+++ b/bench/measure/PeerGroup.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Base/ManualClock.h"
-#include "Control/ConfigSpread.h"
+#include "Control/ConfigPropagator.h"
 #include "Control/Membership.h"
 #include "Control/PeerCodec.h"
 #include "Control/TrafficGovernor.h"
@@ -20,8 +20,9 @@
 
 namespace catkinloft::fakes {
 
-/// \brief Many routers' membership and configuration in one process under a paused clock, with
-/// seeded delay and loss of datagrams and one fake platform. No other model of a network.
+/// \brief Simulates the membership and configuration of many routers in one process with a manual
+/// clock, one fake platform, and seeded delay and loss of datagrams. Models no other property of a
+/// network.
 class PeerGroup
 {
 public:
@@ -32,8 +33,8 @@
         double loss = 0;
         Duration minDelay = std::chrono::microseconds(500);
         Duration maxDelay = std::chrono::milliseconds(2);
-        /// Of how many messages one is encoded for its size; the others count as the last one of
-        /// their kind. 1 is exact.
+        /// Encodes one of this many messages to determine its size. The others are counted with the
+        /// size of the last encoded message of the same kind and number of updates. 1 is exact.
         int encodeEvery = 1;
         double bytesPerSecond = 3000;
     };
@@ -42,9 +43,9 @@
     {
         std::string address;
         std::unique_ptr<TrafficGovernor> governor;
-        std::unique_ptr<ConfigKeeper> config;
+        std::unique_ptr<ConfigManager> config;
         std::unique_ptr<Membership> membership;
-        std::unique_ptr<ConfigSpread> spread;
+        std::unique_ptr<ConfigPropagator> propagator;
         bool up = true;
         TimePoint wake = TimePoint::max();
         std::vector<std::uint64_t> applied; ///< Revisions in the order in which they took effect.
@@ -68,7 +69,7 @@
 
     static std::string nameOf(std::size_t i) { return fmt::format("router-{}", i); }
 
-    /// \brief Adds a router that knows nobody.
+    /// \brief Adds a router that knows no other router.
     Node &add()
     {
         const std::size_t i = m_nodes.size();
@@ -80,15 +81,15 @@
         return out;
     }
 
-    /// \brief Starts router \a i anew, with nothing that it knew.
+    /// \brief Restarts router \a i with empty state.
     void start(std::size_t i)
     {
         Node &it = *m_nodes[i];
         it.up = true;
         it.governor = std::make_unique<TrafficGovernor>(TrafficGovernor::Options{
                 .clock = m_clock, .bytesPerSecond = m_options.bytesPerSecond});
-        it.spread.reset();
-        it.config = std::make_unique<ConfigKeeper>(ConfigKeeper::Options{
+        it.propagator.reset();
+        it.config = std::make_unique<ConfigManager>(ConfigManager::Options{
                 .table = m_table,
                 .objects = m_objects,
                 .clock = m_clock,
@@ -98,7 +99,7 @@
             it.applied.push_back(inventory->revision);
         });
         startMembership(i);
-        it.spread = std::make_unique<ConfigSpread>(ConfigSpread::Options{
+        it.propagator = std::make_unique<ConfigPropagator>(ConfigPropagator::Options{
                 .clock = m_clock,
                 .config = *it.config,
                 .membership = *it.membership,
@@ -112,12 +113,12 @@
 
     void stop(std::size_t i) { m_nodes[i]->up = false; }
 
-    /// \brief Lets every router know every other, as after a long time.
+    /// \brief Makes all routers known to each other, as in a converged fleet.
     void introduceAll()
     {
         PeerMessage all{.kind = PeerMessageKind::Sync, .from = "list"};
         for (const auto &it : m_nodes)
-            all.news.push_back(it->membership->self());
+            all.updates.push_back(it->membership->self());
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
             m_nodes[i]->membership->receive("nowhere", all);
             schedule(i);
@@ -133,7 +134,7 @@
         return out;
     }
 
-    /// \param blocked says whether a datagram between two routers is lost for sure.
+    /// \param blocked returns whether every datagram from the first to the second router is lost.
     void block(std::function<bool(std::size_t, std::size_t)> blocked)
     {
         m_blocked = std::move(blocked);
@@ -144,7 +145,7 @@
         runUntil([] { return false; }, length);
     }
 
-    /// \returns whether \a condition held within \a limit; looked at after each event.
+    /// \returns whether \a condition became true within \a limit; it is checked after each event.
     bool runUntil(const std::function<bool()> &condition, Duration limit)
     {
         const TimePoint end = m_clock.now() + limit;
@@ -173,8 +174,8 @@
         return n;
     }
 
-    /// \returns whether every router that is up believes \a state of \a name.
-    bool allBelieve(const std::string &name, std::optional<MemberState> state) const
+    /// \returns whether every router that is up has \a state as the state of \a name.
+    bool allHaveState(const std::string &name, std::optional<MemberState> state) const
     {
         for (const auto &it : m_nodes) {
             if (!it->up || it->membership->self().name == name)
@@ -201,14 +202,14 @@
         m_events.emplace(m_clock.now() + delay, std::move(it));
     }
 
-    /// \brief Plans the next poll of router \a i after it was used from outside.
+    /// \brief Reschedules the next poll of router \a i after outside calls to it.
     void schedule(std::size_t i)
     {
         Node &it = *m_nodes[i];
-        if (!it.membership || !it.spread)
+        if (!it.membership || !it.propagator)
             return;
         m_wakes.erase({it.wake, i});
-        it.wake = std::min(it.membership->nextDeadline(), it.spread->nextDeadline());
+        it.wake = std::min(it.membership->nextDeadline(), it.propagator->nextDeadline());
         m_wakes.insert({it.wake, i});
     }
 
@@ -246,14 +247,14 @@
             return;
         }
         it.membership->poll();
-        it.spread->poll();
+        it.propagator->poll();
         schedule(i);
     }
 
     std::size_t sizeOf(PeerMessage message)
     {
         const auto kind = static_cast<std::size_t>(message.kind);
-        const auto shape = std::make_pair(kind, message.news.size());
+        const auto shape = std::make_pair(kind, message.updates.size());
         Shape &known = m_shapes[shape];
         if (known.seen++ % static_cast<std::uint64_t>(m_options.encodeEvery) == 0) {
             message.sequence = 100'000;
@@ -277,7 +278,7 @@
             if (!it.up)
                 return;
             it.membership->receive(m_nodes[from]->address, message);
-            it.spread->receive(m_nodes[from]->address, message);
+            it.propagator->receive(m_nodes[from]->address, message);
             schedule(i);
         });
     }
@@ -287,11 +288,12 @@
         const std::size_t i = m_byAddress.at(to);
         if (!m_nodes[i]->up || (m_blocked && m_blocked(from, i)))
             return;
-        const PeerMessage answer = m_nodes[i]->spread->deltaSince(m_nodes[from]->config->digest());
+        const PeerMessage answer =
+                m_nodes[i]->propagator->deltaSince(m_nodes[from]->config->digest());
         m_nodes[i]->governor->countConnection(sizeOf(answer));
         later(2 * m_options.maxDelay, [this, from, answer] {
             if (m_nodes[from]->up)
-                m_nodes[from]->spread->applyDelta(answer);
+                m_nodes[from]->propagator->applyDelta(answer);
             schedule(from);
         });
     }
--- a/fuzz/FuzzEntry.cpp
+++ b/fuzz/FuzzEntry.cpp
@@ -1,9 +1,9 @@
 #include "Base/YamlSection.h"
-#include "Control/ConfigTexts.h"
+#include "Control/ConfigTextCache.h"
 #include "Control/PeerState.h"
 #include "Control/RegisteredRouter.h"
 #include "Control/ReplicaUpdate.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 #include "platform/ReplicaEntry.h"
 
 #include <cstdint>
@@ -14,21 +14,22 @@
 
 namespace {
 
-/// What was decoded must survive its own encoding.
-void roundTripBeat(const std::string &text)
+/// A decoded heartbeat must be unchanged after it is encoded and decoded again.
+void roundTripHeartbeat(const std::string &text)
 {
-    static BeatCodec codec;
-    const Result<RouterBeat> first = codec.decode(text);
+    static HeartbeatCodec codec;
+    const Result<RouterHeartbeat> first = codec.decode(text);
     if (!first)
         return;
-    const std::string again = BeatCodec::encode(first.value());
+    const std::string again = HeartbeatCodec::encode(first.value());
     (void)codec.unpack(text);
-    const Result<RouterBeat> second = codec.unpack(BeatCodec::pack(first.value()));
-    if (!second || BeatCodec::encode(second.value()) != again)
+    const Result<RouterHeartbeat> second = codec.unpack(HeartbeatCodec::pack(first.value()));
+    if (!second || HeartbeatCodec::encode(second.value()) != again)
         std::abort();
 }
 
-/// An entry of any writer names a replica that requests can be sent to, or none.
+/// A replica entry, whoever wrote it, must decode to a replica that requests can be sent to, or be
+/// rejected.
 void readReplicaEntry(const std::string &text)
 {
     const Result<ReplicaRecord> it = platform::decodeReplicaEntry("i-1", text);
@@ -38,11 +39,11 @@
     if (record.slots < 1 || record.startedAt < 0 || record.service.empty()
         || !parseEndpoint(record.address))
         std::abort();
-    const Result<ReplicaUpdate> told =
+    const Result<ReplicaUpdate> decoded =
             ReplicaUpdate::decode(ReplicaUpdate{.replicas = {record}}.encode());
-    if (!told || told.value().replicas.size() != 1
-        || told.value().replicas.front().incarnation() != record.incarnation()
-        || told.value().replicas.front().address != record.address)
+    if (!decoded || decoded.value().replicas.size() != 1
+        || decoded.value().replicas.front().incarnation() != record.incarnation()
+        || decoded.value().replicas.front().address != record.address)
         std::abort();
 }
 
@@ -52,7 +53,7 @@
     if (!state)
         return;
     if (state.value().config)
-        (void)ConfigTexts::textIn(state.value(), text);
+        (void)ConfigTextCache::unpackText(state.value(), text);
     if (state.value().replicas)
         (void)state.value().replicas->text();
     (void)ReplicaUpdate::decode(text);
@@ -78,7 +79,7 @@
     if (data[0] == 'r')
         roundTripRouterRow(text);
     else if (data[0] % 3 == 0)
-        roundTripBeat(text);
+        roundTripHeartbeat(text);
     else if (data[0] % 3 == 1)
         readReplicaEntry(text);
     else
--- a/soak/SoakRun.h
+++ b/soak/SoakRun.h
@@ -18,18 +18,18 @@
     {
         std::string binaries;
         std::uint64_t seed = 1;
-        Duration length = std::chrono::seconds(10); ///< While faults begin.
+        Duration length = std::chrono::seconds(10); ///< Period in which faults begin.
         std::size_t routers = 4;
         std::size_t replicas = 3; ///< Of each of two services.
         bool withReplicaFaults = true; ///< \sa drawReplicaFaults
         bool withDomainFaults = true; ///< \sa drawDomainFaults
-        std::string keepFolder = {}; ///< Logs of a run with a broken promise are kept there.
+        std::string keepFolder = {}; ///< Receives the logs of a run that violates a guarantee.
     };
 
     struct Outcome
     {
         std::vector<Fault> faults;
-        std::vector<std::string> broken; ///< Empty: all promises were kept.
+        std::vector<std::string> broken; ///< Violated guarantees; empty if the run passed.
         std::size_t requests = 0;
         std::size_t answered = 0;
     };
@@ -41,17 +41,17 @@
 private:
     void begin(const Fault &fault);
     void end(const Fault &fault);
-    void startRouterAgain(std::size_t i);
-    void noteDisturbed(std::size_t router);
-    void noteUndisturbed(std::size_t router);
-    void reviveReplicas();
+    void restartRouter(std::size_t i);
+    void beginDisturbance(std::size_t router);
+    void endDisturbance(std::size_t router);
+    void restartExitedReplicas();
     void setReplicaFaults(std::size_t i, const std::string &faults);
-    void replicaReturned(std::size_t i);
-    void takeKey();
+    void endReplicaOutage(std::size_t i);
+    void revokeKey();
     void evacuate(std::size_t i);
     void endEvacuation(std::size_t i);
-    void turnCold(const Fault &fault);
-    bool isCalm() const;
+    void makeCold(const Fault &fault);
+    bool isControlStable() const;
     void finish();
     std::vector<std::string> probe();
     void keepLogs() const;
@@ -62,13 +62,13 @@
     RandomSource m_random;
     std::optional<SoakLoad> m_load;
     RunHistory m_history;
-    std::unique_ptr<Timer> m_revival; ///< Starts replicas anew that have ended by themselves.
+    std::unique_ptr<Timer> m_restartTimer; ///< Restarts replicas that have exited on their own.
     std::string m_key = standin::EntryFleet::Key;
     int m_keys = 0;
-    std::map<std::size_t, int> m_away; ///< Pauses and kills in progress, by replica.
-    std::map<std::size_t, std::string> m_faultsOnReturn; ///< Ordered while it was away.
+    std::map<std::size_t, int> m_replicaOutages; ///< Pauses and kills in progress, by replica.
+    std::map<std::size_t, std::string> m_pendingFaults; ///< Requested during an outage.
     bool m_extraRoute = false;
-    TimePoint m_disturbedUntil; ///< Routers or store; promises with a time bound wait for calm.
+    TimePoint m_disturbedUntil; ///< End of the last fault of routers or store.
 };
 
 } // namespace catkinloft::soak
--- a/src/Base/Compression.cpp
+++ b/src/Base/Compression.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-/// Output is taken in pieces of so many bytes, so that a short input can't claim much memory.
-constexpr std::size_t PieceSize = 64 * 1024;
+/// Size of the output buffer. Decompressing in chunks of this size stops at the size limit, so that
+/// a short input cannot allocate much memory.
+constexpr std::size_t ChunkSize = 64 * 1024;
 
-/// Of short texts: a raw stream, without head and checksum, with a window of 4 KB.
+/// For short texts. A negative value selects a raw stream, without header and checksum; 12 bits are
+/// a window of 4 KB.
 constexpr int ShortWindowBits = -12;
 constexpr int ShortMemoryLevel = 5;
 
@@ -27,7 +29,7 @@
     return {.reason = Reason::MalformedRequest, .detail = std::move(detail)};
 }
 
-/// A stream of zlib that is closed with its scope.
+/// A zlib stream that is closed at the end of its scope.
 struct Inflater
 {
     explicit Inflater(int windowBits = MAX_WBITS)
@@ -59,22 +61,22 @@
 
 Result<std::string> inflateAll(Inflater &it, std::string_view bytes, std::size_t maxSize)
 {
-    // zlib reads through a pointer to non-const and writes nothing there.
+    // next_in is a pointer to non-const, but zlib does not write to its input.
     it.stream.next_in = const_cast<Bytef *>(bytesOf(bytes));
     it.stream.avail_in = static_cast<uInt>(bytes.size());
     std::string out;
-    std::array<char, PieceSize> piece;
+    std::array<char, ChunkSize> chunk;
     int state = Z_OK;
     while (state == Z_OK && out.size() <= maxSize) {
-        it.stream.next_out = reinterpret_cast<Bytef *>(piece.data());
-        it.stream.avail_out = static_cast<uInt>(piece.size());
+        it.stream.next_out = reinterpret_cast<Bytef *>(chunk.data());
+        it.stream.avail_out = static_cast<uInt>(chunk.size());
         state = inflate(&it.stream, Z_NO_FLUSH);
-        out.append(piece.data(), piece.size() - it.stream.avail_out);
+        out.append(chunk.data(), chunk.size() - it.stream.avail_out);
     }
     if (out.size() > maxSize)
-        return malformed(fmt::format("compressed text of more than {} bytes", maxSize));
+        return malformed(fmt::format("decompressed text is longer than {} bytes", maxSize));
     if (state != Z_STREAM_END || it.stream.avail_in != 0)
-        return malformed("not a whole compressed text");
+        return malformed("compressed text is truncated or malformed");
     return out;
 }
 
@@ -84,7 +86,7 @@
 {
     Inflater it;
     if (!it.ready)
-        return malformed("no memory for decompression");
+        return malformed("cannot initialize decompression");
     return inflateAll(it, bytes, maxSize);
 }
 
@@ -115,7 +117,7 @@
         || inflateSetDictionary(&it.stream, bytesOf(dictionary),
                                 static_cast<uInt>(dictionary.size()))
                 != Z_OK)
-        return malformed("no memory for decompression");
+        return malformed("cannot initialize decompression");
     return inflateAll(it, bytes, maxSize);
 }
 
--- a/src/Base/InventoryParser.cpp
+++ b/src/Base/InventoryParser.cpp
@@ -24,7 +24,8 @@
     return out;
 }
 
-/// Appends to \a text the entries that \a known does not have.
+/// Appends to \a text the entries of \a items that are not in \a known.
+/// \returns how many it appended.
 std::size_t appendNew(std::string &text, std::string_view key,
                       const std::vector<std::string_view> &items, const Positions &known)
 {
@@ -39,18 +40,18 @@
     return n;
 }
 
-/// Puts the entries of \a items together from those known before and those read anew, which come
-/// in the same order.
+/// \returns the entries of \a items, taken from \a before where they are in \a known, and otherwise
+/// from \a added, which has the same order.
 template<typename T>
 std::vector<T> merged(const std::vector<std::string_view> &items, const Positions &known,
-                      const std::vector<T> &before, std::vector<T> &&fresh)
+                      const std::vector<T> &before, std::vector<T> &&added)
 {
     std::vector<T> out;
     out.reserve(items.size());
     std::size_t next = 0;
     for (const std::string_view it : items) {
         const auto found = known.find(it);
-        out.push_back(found == known.end() ? std::move(fresh[next++]) : before[found->second]);
+        out.push_back(found == known.end() ? std::move(added[next++]) : before[found->second]);
     }
     return out;
 }
@@ -82,7 +83,7 @@
 
 struct InventoryParser::Private
 {
-    std::unique_ptr<const std::string> text; ///< Of `last`; the outline looks into it.
+    std::unique_ptr<const std::string> text; ///< Text of `last`; the outline refers to it.
     InventoryOutline outline;
     Positions engines;
     Positions workspaces;
@@ -91,14 +92,14 @@
 
     InventoryPtr parseChanges(const InventoryOutline &next, const std::string &file,
                               std::uint64_t revision);
-    void remember(std::unique_ptr<const std::string> newText, std::optional<InventoryOutline> next,
-                  InventoryPtr inventory);
+    void saveBaseline(std::unique_ptr<const std::string> newText,
+                      std::optional<InventoryOutline> next, InventoryPtr inventory);
 };
 
 InventoryPtr InventoryParser::Private::parseChanges(const InventoryOutline &next,
                                                     const std::string &file, std::uint64_t revision)
 {
-    // Known engines were checked against these places.
+    // The failure domains of known engines were validated against these places.
     if (!last || next.places != outline.places)
         return nullptr;
     std::string reduced;
@@ -126,9 +127,9 @@
     return out;
 }
 
-void InventoryParser::Private::remember(std::unique_ptr<const std::string> newText,
-                                        std::optional<InventoryOutline> next,
-                                        InventoryPtr inventory)
+void InventoryParser::Private::saveBaseline(std::unique_ptr<const std::string> newText,
+                                            std::optional<InventoryOutline> next,
+                                            InventoryPtr inventory)
 {
     const bool isUsable = next && next->engines.size() == inventory->engines.size()
             && next->workspaces.size() == inventory->workspaces.size();
@@ -146,9 +147,9 @@
 InventoryPtr InventoryParser::parse(const std::string &text, const std::string &file,
                                     std::uint64_t revision, YamlProblems &problems)
 {
-    // Outlined in the copy that is kept, so that it is done once.
-    auto kept = std::make_unique<const std::string>(text);
-    std::optional<InventoryOutline> next = InventoryOutline::of(*kept);
+    // The outline refers to the copy that is stored, so that it does not have to be computed again.
+    auto textCopy = std::make_unique<const std::string>(text);
+    std::optional<InventoryOutline> next = InventoryOutline::of(*textCopy);
     InventoryPtr out = next ? m_d->parseChanges(*next, file, revision) : nullptr;
     if (!out) {
         out = Inventory::parse(text, file, revision, problems);
@@ -156,7 +157,7 @@
             return nullptr;
         m_d->entriesRead = out->engines.size() + out->workspaces.size();
     }
-    m_d->remember(std::move(kept), std::move(next), out);
+    m_d->saveBaseline(std::move(textCopy), std::move(next), out);
     return out;
 }
 
--- a/src/Base/YamlSection.cpp
+++ b/src/Base/YamlSection.cpp
@@ -253,8 +253,8 @@
         return std::nullopt;
     const auto count = parseNumber<std::int64_t>(text.substr(0, n));
     for (const DurationUnit &it : DurationUnits) {
-        const std::int64_t most = Duration::max().count() / it.length.count();
-        if (count && it.name == text.substr(n) && *count <= most)
+        const std::int64_t maxCount = Duration::max().count() / it.length.count();
+        if (count && it.name == text.substr(n) && *count <= maxCount)
             return it.length * *count;
     }
     return std::nullopt;
@@ -280,7 +280,7 @@
     if (v6)
         host = host.substr(1, host.size() - 2);
     in6_addr parsed{};
-    // inet_pton() stops at the first NUL and would not see what follows it.
+    // inet_pton() stops at the first NUL and would accept anything after it.
     if (!port || *port == 0 || host.find('\0') != std::string::npos
         || inet_pton(v6 ? AF_INET6 : AF_INET, host.c_str(), &parsed) != 1)
         return std::nullopt;
--- a/src/Cli/ApplyCommand.cpp
+++ b/src/Cli/ApplyCommand.cpp
@@ -18,7 +18,7 @@
 int runApply(std::span<char *const> arguments)
 {
     if (arguments.empty() || arguments.size() > 2) {
-        internal::complain("usage: catkinloft apply INVENTORY [BASE]");
+        internal::printError("usage: catkinloft apply INVENTORY [BASE]");
         return exit_code::Usage;
     }
     const auto text = internal::readArgument(arguments[0]);
@@ -27,17 +27,17 @@
     YamlProblems problems;
     Inventory::parse(*text, arguments[0], 1, problems);
     for (const YamlProblem &it : problems)
-        internal::complain(it.text());
+        internal::printError(it.text());
     if (!problems.empty())
         return exit_code::Usage;
     const Result<internal::CurrentConfig> before = internal::readConfig();
     if (!before) {
-        internal::complain(before.error().detail);
+        internal::printError(before.error().detail);
         return exit_code::Failed;
     }
     fmt::print("{}", describeDelta(before.value().text, *text, MaxDiffLines));
-    // Without BASE the change is against what is in force now, difference and all; with it, a
-    // change that came in between is not overwritten.
+    // Without BASE the change is based on the active configuration, which the printed difference
+    // refers to. With BASE the router refuses to overwrite a change made since that revision.
     const std::string tag =
             arguments.size() > 1 ? fmt::format("\"{}\"", arguments[1]) : before.value().tag;
     return internal::sendConfig("/v1/config", tag, *text);
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-/// Items of news on one message. About 110 bytes each: the datagram stays under the 1,200 bytes
-/// that pass every link whole, together with a delta's own limit.
-constexpr std::size_t NewsPerMessage = 3;
+/// Updates in one message, about 110 bytes each. Together with the limit on a delta, this keeps a
+/// datagram below the 1,200 bytes that no link fragments.
+constexpr std::size_t UpdatesPerMessage = 3;
 
-/// Members on a page of a whole list, for the same reason.
+/// Members in one page of the full list; limited for the same reason.
 constexpr std::size_t SyncPage = 6;
 
-/// Transmissions of one item for each factor of ten in the number of members. Three times
-/// log10(890) = 9 lets news reach all but one in e^9 members at no loss; the comparison of whole
-/// lists finds the rest.
+/// Transmissions of one update for each factor of ten in the number of members. Without loss, three
+/// times log10(890) = 9 transmissions reach all but one in e^9 members; the comparison of full
+/// lists covers the rest.
 constexpr double SendsPerDecade = 3;
 
-/// Pause before a gossip is repeated: longer than a round trip, so that the second wave starts from
-/// what the first one reached.
+/// Pause before gossip is sent a second time. It is longer than a round trip, so that the members
+/// reached by the first transmission take part in the second.
 constexpr Duration GossipPause = std::chrono::milliseconds(250);
 
-/// Candidates that are asked in one period: the list of 890 VMs is tried within minutes and costs
-/// no burst.
+/// Candidates that are contacted in one period. The list of 890 VMs is covered within minutes and
+/// without a burst of messages.
 constexpr std::size_t CandidatesPerPeriod = 2;
 
 bool isUp(MemberState state)
@@ -41,7 +41,7 @@
     : m_options(std::move(options)), m_self(m_options.self), m_nextPeriod(m_options.clock.now()),
       m_nextSync(m_options.clock.now() + std::chrono::seconds(2))
 {
-    m_news.add(m_self);
+    m_updates.add(m_self);
 }
 
 void Membership::addSeed(const std::string &peerAddress)
@@ -72,16 +72,16 @@
     return out;
 }
 
-std::size_t Membership::newsRoom() const
+std::size_t Membership::maxUpdatesPerMessage() const
 {
-    // Where the byte limit is near, news waits for later messages.
-    return !m_options.mayDefer || m_options.mayDefer() ? NewsPerMessage : 1;
+    // Near the byte limit, updates wait for later messages.
+    return !m_options.mayDefer || m_options.mayDefer() ? UpdatesPerMessage : 1;
 }
 
 void Membership::sendTo(const Member &member, PeerMessage message)
 {
-    if (message.news.empty())
-        message.news = m_news.take(newsRoom(), maxSends());
+    if (message.updates.empty())
+        message.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
     m_options.send(member.peerAddress, std::move(message));
 }
 
@@ -93,8 +93,8 @@
 
 Duration Membership::suspicionTime() const
 {
-    // A refutation has to travel to all: the time grows with the logarithm of the members, as
-    // spreading does. At 890 it is 6 s, at 9 it is 2.6 s.
+    // A refutation has to reach all members, and dissemination time grows with the logarithm of
+    // their number. The result is 6 s for 890 members and 2.6 s for 9.
     const double decades = std::log10(static_cast<double>(m_members.size()) + 10);
     return scaled(m_options.timing.period, m_options.timing.suspicionPeriods * decades);
 }
@@ -103,17 +103,18 @@
 {
     if (message.from == m_self.name)
         return;
-    m_lastHeard = m_options.clock.now();
-    // Pages of a whole list bring what others know already: passing that on would fill messages.
-    const bool isNews = message.kind != PeerMessageKind::Sync;
-    for (const Member &it : message.news)
-        accept(it, isNews);
-    heardFrom(address, message);
+    m_lastReceivedAt = m_options.clock.now();
+    // Pages of the full list hold what other members already know; disseminating it again would
+    // displace new updates.
+    const bool disseminate = message.kind != PeerMessageKind::Sync;
+    for (const Member &it : message.updates)
+        accept(it, disseminate);
+    handleSender(address, message);
     switch (message.kind) {
     case PeerMessageKind::Ping: {
         PeerMessage ack = compose(PeerMessageKind::Ack, message.from);
         ack.probe = message.probe;
-        ack.news = m_news.take(newsRoom(), maxSends());
+        ack.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
         m_options.send(address, std::move(ack));
         break;
     }
@@ -137,87 +138,91 @@
     case PeerMessageKind::ConfigLarge:
         break;
     }
-    if (m_gossipWanted)
+    if (m_gossipPending)
         gossip();
 }
 
-void Membership::heardFrom(const std::string &address, const PeerMessage &message)
+void Membership::handleSender(const std::string &address, const PeerMessage &message)
 {
     const auto it = m_members.find(message.from);
     if (it == m_members.end() || message.incarnation > it->second.incarnation) {
-        // News is passed on a bounded number of times and may miss someone; whoever then hears from
-        // the member itself asks it. Its own page tells who it is.
+        // An update is disseminated a bounded number of times and may not reach every member. A
+        // router that receives a message from an unknown member requests a page of its list, which
+        // starts with the member itself.
         PeerMessage request = compose(PeerMessageKind::SyncRequest, message.from);
-        request.news = {m_self};
+        request.updates = {m_self};
         if (message.kind != PeerMessageKind::SyncRequest && message.kind != PeerMessageKind::Sync)
             m_options.send(address, std::move(request));
         return;
     }
     it->second.load = message.load;
-    it->second.heardAt = m_lastHeard;
+    it->second.loadReceivedAt = m_lastReceivedAt;
     if (it->second.state == MemberState::Suspect || it->second.state == MemberState::Dead) {
-        // It lives, but only its own higher incarnation may say so to all: it gets told.
-        PeerMessage told = compose(PeerMessageKind::Gossip, message.from);
-        told.news = {it->second};
-        m_options.send(address, std::move(told));
+        // The sender is alive, but only its own higher incarnation can refute the suspicion for all
+        // members, so it is notified.
+        PeerMessage notice = compose(PeerMessageKind::Gossip, message.from);
+        notice.updates = {it->second};
+        m_options.send(address, std::move(notice));
     }
 }
 
-void Membership::accept(const Member &news, bool passOn)
+void Membership::accept(const Member &update, bool disseminate)
 {
-    if (news.name == m_self.name) {
-        acceptAboutSelf(news);
+    if (update.name == m_self.name) {
+        refute(update);
         return;
     }
-    const auto it = m_members.find(news.name);
-    if (it == m_members.end() && news.state == MemberState::Dead)
+    const auto it = m_members.find(update.name);
+    if (it == m_members.end() && update.state == MemberState::Dead)
         return;
-    if (it != m_members.end() && !overrides(news, it->second))
+    if (it != m_members.end() && !overrides(update, it->second))
         return;
-    noteState(news, passOn);
+    applyUpdate(update, disseminate);
 }
 
-void Membership::noteState(const Member &news, bool passOn)
+void Membership::applyUpdate(const Member &update, bool disseminate)
 {
-    const auto old = m_members.find(news.name);
+    const auto old = m_members.find(update.name);
     const bool isNew = old == m_members.end();
-    const bool stateChanged = isNew || old->second.state != news.state;
-    Member &member = m_members[news.name];
+    const bool stateChanged = isNew || old->second.state != update.state;
+    Member &member = m_members[update.name];
     const Member before = member;
-    member = news;
+    member = update;
     member.load = before.load;
-    member.heardAt = before.heardAt;
-    if (passOn)
-        m_news.add(news);
+    member.loadReceivedAt = before.loadReceivedAt;
+    if (disseminate)
+        m_updates.add(update);
     if (isNew)
         m_order.insert(
                 m_order.begin()
                         + static_cast<std::ptrdiff_t>(below(m_options.random, m_order.size() + 1)),
-                news.name);
-    m_candidates.erase(news.name);
+                update.name);
+    m_candidates.erase(update.name);
     const TimePoint now = m_options.clock.now();
-    if (news.state == MemberState::Suspect)
-        m_deadlines[news.name] = now + suspicionTime();
-    else if (news.state == MemberState::Dead)
-        m_deadlines[news.name] = now + m_options.timing.deadKept;
+    if (update.state == MemberState::Suspect)
+        m_deadlines[update.name] = now + suspicionTime();
+    else if (update.state == MemberState::Dead)
+        m_deadlines[update.name] = now + m_options.timing.deadRetention;
     else
-        m_deadlines.erase(news.name);
+        m_deadlines.erase(update.name);
     if (!stateChanged)
         return;
-    // Death and leaving take callers off an address, so they don't wait for the next probe.
-    m_gossipWanted =
-            m_gossipWanted || news.state == MemberState::Dead || news.state == MemberState::Leaving;
+    // Callers must stop using the address of a dead or leaving router, so these updates do not wait
+    // for the next probe.
+    m_gossipPending = m_gossipPending || update.state == MemberState::Dead
+            || update.state == MemberState::Leaving;
     m_changed.emit(member);
 }
 
-void Membership::acceptAboutSelf(const Member &news)
+void Membership::refute(const Member &update)
 {
-    const bool wrong = news.state != m_self.state;
-    if (news.incarnation < m_self.incarnation || (!wrong && news.incarnation == m_self.incarnation))
+    const bool wrong = update.state != m_self.state;
+    if (update.incarnation < m_self.incarnation
+        || (!wrong && update.incarnation == m_self.incarnation))
         return;
-    m_self.incarnation = news.incarnation + 1;
-    m_news.add(m_self);
-    m_gossipWanted = true;
+    m_self.incarnation = update.incarnation + 1;
+    m_updates.add(m_self);
+    m_gossipPending = true;
 }
 
 void Membership::answerPingRequest(const std::string &address, const PeerMessage &message)
@@ -226,7 +231,7 @@
     m_relays[id] = {.address = address, .probe = message.probe, .sent = m_options.clock.now()};
     PeerMessage ping = compose(PeerMessageKind::Ping, message.target);
     ping.probe = id;
-    ping.news = m_news.take(newsRoom(), maxSends());
+    ping.updates = m_updates.take(maxUpdatesPerMessage(), maxSends());
     m_options.send(message.targetAddress, std::move(ping));
 }
 
@@ -244,11 +249,11 @@
 void Membership::poll()
 {
     const TimePoint now = m_options.clock.now();
-    if (now >= nextTry())
-        repeatProbe();
-    if (now >= m_gossipAgain) {
-        m_gossipAgain = TimePoint::max();
-        m_self.state == MemberState::Leaving ? tellLeaving() : gossipNow();
+    if (now >= nextAttempt())
+        retryProbe();
+    if (now >= m_gossipRepeatAt) {
+        m_gossipRepeatAt = TimePoint::max();
+        m_self.state == MemberState::Leaving ? announceLeave() : gossipNow();
     }
     if (now >= m_nextPeriod) {
         endProbe();
@@ -256,25 +261,25 @@
         startProbe();
         if (m_syncAfter)
             requestPage();
-        // A random part keeps routers that started together from probing together.
+        // Jitter keeps routers that started at the same time from probing in step.
         const double jitter = 0.9 + 0.2 * uniform(m_options.random);
         m_nextPeriod = now + scaled(m_options.timing.period, jitter);
     }
     if (now >= m_nextSync)
         startSync();
-    if (m_gossipWanted)
+    if (m_gossipPending)
         gossip();
 }
 
 TimePoint Membership::nextDeadline() const
 {
-    return std::min({m_nextPeriod, m_nextSync, m_gossipAgain, nextTry()});
+    return std::min({m_nextPeriod, m_nextSync, m_gossipRepeatAt, nextAttempt()});
 }
 
 std::string Membership::nextTarget()
 {
-    // A shuffled round bounds the longest time until a member is probed, where independent draws
-    // would leave some out for long.
+    // A shuffled round bounds the time until each member is probed; independent random draws would
+    // not.
     for (int round = 0; round < 2; ++round) {
         while (!m_order.empty()) {
             std::string name = std::move(m_order.back());
@@ -293,43 +298,43 @@
 
 void Membership::startProbe()
 {
-    joinThroughSeeds();
-    const std::string name = m_again.empty() ? nextTarget() : m_again;
+    contactCandidates();
+    const std::string name = m_retryTarget.empty() ? nextTarget() : m_retryTarget;
     if (!m_members.contains(name))
         return;
     m_probe = Probe{.target = name, .id = m_nextId++, .sent = m_options.clock.now()};
     PeerMessage ping = compose(PeerMessageKind::Ping, name);
     ping.probe = m_probe->id;
     const Member &member = m_members.at(name);
-    // A suspect hears of the suspicion from everybody who probes it, so that it can refute it.
+    // Every probe of a suspect member carries the suspicion, so that the member can refute it.
     if (member.state == MemberState::Suspect)
-        ping.news = {member};
+        ping.updates = {member};
     sendTo(member, std::move(ping));
 }
 
-TimePoint Membership::nextTry() const
+TimePoint Membership::nextAttempt() const
 {
-    constexpr int AllTries = 3;
-    if (!m_probe || m_probe->answered || m_probe->tries >= AllTries)
+    constexpr int MaxAttempts = 3;
+    if (!m_probe || m_probe->answered || m_probe->attempts >= MaxAttempts)
         return TimePoint::max();
-    return m_probe->sent + m_options.timing.ackTimeout * m_probe->tries;
+    return m_probe->sent + m_options.timing.ackTimeout * m_probe->attempts;
 }
 
-/// A lost datagram is far more likely than a broken path, so the cheap repetition goes before the
-/// dozen messages of probes by others.
-void Membership::repeatProbe()
+/// Retries the probe directly before it asks other members: a lost datagram is far more likely than
+/// a broken path, and indirect probes cost a dozen messages.
+void Membership::retryProbe()
 {
     const auto it = m_members.find(m_probe->target);
-    if (++m_probe->tries > 2) {
-        askOthers();
+    if (++m_probe->attempts > 2) {
+        probeIndirectly();
     } else if (it != m_members.end()) {
-        PeerMessage again = compose(PeerMessageKind::Ping, it->first);
-        again.probe = m_probe->id;
-        sendTo(it->second, std::move(again));
+        PeerMessage retry = compose(PeerMessageKind::Ping, it->first);
+        retry.probe = m_probe->id;
+        sendTo(it->second, std::move(retry));
     }
 }
 
-void Membership::askOthers()
+void Membership::probeIndirectly()
 {
     const auto it = m_members.find(m_probe->target);
     if (it == m_members.end())
@@ -350,40 +355,41 @@
         return;
     const Probe probe = *m_probe;
     m_probe.reset();
-    const bool isSecond = std::exchange(m_again, {}) == probe.target;
+    const bool isSecond = std::exchange(m_retryTarget, {}) == probe.target;
     const auto it = m_members.find(probe.target);
     if (probe.answered || it == m_members.end())
         return;
-    // A router that was paused itself finds its probe unanswered through no fault of the target.
+    // If this router itself was paused, the missing answer says nothing about the target.
     if (m_options.clock.now() > probe.sent + 2 * m_options.timing.period)
         return;
-    // Each suspicion is news to all and so is its refutation: at a loss of a fifth they would take
-    // the whole byte limit of 90 routers. A second failed probe in a row costs a second's delay.
+    // Each suspicion is disseminated to all members and so is its refutation. With a fifth of the
+    // datagrams lost, these updates would use up the whole byte limit of 90 routers. Waiting for a
+    // second failed probe in a row delays detection by one second.
     if (!isSecond) {
-        m_again = probe.target;
+        m_retryTarget = probe.target;
         return;
     }
-    Member news = it->second;
-    if (news.state == MemberState::Alive)
-        news.state = MemberState::Suspect;
-    else if (news.state == MemberState::Leaving)
-        news.state = MemberState::Dead;
-    if (overrides(news, it->second))
-        noteState(news);
+    Member update = it->second;
+    if (update.state == MemberState::Alive)
+        update.state = MemberState::Suspect;
+    else if (update.state == MemberState::Leaving)
+        update.state = MemberState::Dead;
+    if (overrides(update, it->second))
+        applyUpdate(update);
 }
 
-void Membership::joinThroughSeeds()
+void Membership::contactCandidates()
 {
     std::vector<std::string> addresses;
     for (const auto &[name, address] : m_candidates) {
-        // Seeds are only for a router that knows nobody.
+        // Seeds are used only while no other member is known.
         if (!name.starts_with("seed ") || liveCount() == 0)
             addresses.push_back(address);
     }
     for (std::size_t i = 0; i < CandidatesPerPeriod && !addresses.empty(); ++i) {
         const std::size_t at = below(m_options.random, addresses.size());
         PeerMessage request = compose(PeerMessageKind::SyncRequest, {});
-        request.news = {m_self};
+        request.updates = {m_self};
         m_options.send(addresses[at], std::move(request));
         addresses.erase(addresses.begin() + static_cast<std::ptrdiff_t>(at));
     }
@@ -401,7 +407,7 @@
         Member member = m_members.at(name);
         if (member.state == MemberState::Suspect) {
             member.state = MemberState::Dead;
-            noteState(member);
+            applyUpdate(member);
         } else {
             m_deadlines.erase(name);
             m_members.erase(name);
@@ -420,9 +426,9 @@
     requestPage();
 }
 
-/// Load: a router that comes up among 890 reads 150 pages, 1,200 times a day in the fleet. Each
-/// page is asked of another member, so that no router pays for the whole list; a lost page is asked
-/// for again in the next period.
+/// Handles routers that start in a fleet of 890 and read 150 pages each, 1,200 times a day in the
+/// fleet. Each page is requested from another member, so that no member has to send the full list.
+/// A lost page is requested again in the next period.
 void Membership::requestPage()
 {
     if (m_options.mayDefer && !m_options.mayDefer())
@@ -430,8 +436,8 @@
     for (const Member *it : randomMembers(1, {})) {
         PeerMessage request = compose(PeerMessageKind::SyncRequest, it->name);
         request.target = m_syncAfter.value_or("");
-        request.news = {m_self};
-        // The hash spares the pages where the lists agree, which is nearly always.
+        request.updates = {m_self};
+        // If the lists are equal, which is the usual case, the hash saves sending the pages.
         if (request.target.empty())
             request.listHash = listHash();
         m_options.send(it->peerAddress, std::move(request));
@@ -440,7 +446,7 @@
 
 std::uint64_t Membership::listHash() const
 {
-    // A sum, so that the place of this router in its own list does not matter.
+    // The sum does not depend on the order, as this router is not in its own list.
     const auto one = [](const Member &it) {
         return it.state == MemberState::Dead
                 ? 0
@@ -458,13 +464,13 @@
         return;
     PeerMessage page = compose(PeerMessageKind::Sync, message.from);
     if (message.target.empty())
-        page.news.push_back(m_self);
+        page.updates.push_back(m_self);
     auto it = m_members.upper_bound(message.target);
     if (message.listHash != 0 && message.listHash == listHash())
         it = m_members.end();
-    for (; it != m_members.end() && page.news.size() < SyncPage; ++it) {
+    for (; it != m_members.end() && page.updates.size() < SyncPage; ++it) {
         if (it->first != message.from)
-            page.news.push_back(it->second);
+            page.updates.push_back(it->second);
     }
     if (it != m_members.end())
         page.target = std::prev(it)->first;
@@ -477,7 +483,7 @@
         m_syncAfter.reset();
         return;
     }
-    // An answer to an older request must not take the reading back.
+    // An answer to an older request must not move the position back.
     if (m_syncAfter.value_or("") >= message.target)
         return;
     m_syncAfter = message.target;
@@ -486,12 +492,12 @@
 
 void Membership::gossip()
 {
-    // Where the byte limit leaves no room now, it stays wanted.
+    // If the byte limit leaves no room now, the gossip stays pending.
     if (m_options.mayDefer && !m_options.mayDefer())
         return;
-    m_gossipWanted = false;
+    m_gossipPending = false;
     gossipNow();
-    m_gossipAgain = m_options.clock.now() + GossipPause;
+    m_gossipRepeatAt = m_options.clock.now() + GossipPause;
 }
 
 void Membership::gossipNow()
@@ -524,29 +530,29 @@
 {
     m_self.state = MemberState::Leaving;
     ++m_self.incarnation;
-    m_news.add(m_self);
-    m_untold.clear();
+    m_updates.add(m_self);
+    m_leaveRecipients.clear();
     for (const Member *it : randomMembers(m_members.size(), {}))
-        m_untold.push_back(it->name);
-    tellLeaving();
+        m_leaveRecipients.push_back(it->name);
+    announceLeave();
 }
 
-/// Load: a router that stops, in a fleet of any size. Harm prevented: news that others pass on a
-/// bounded number of times may miss a member, which then names the stopped router to callers until
-/// probes fail. Whoever leaves tells members itself, as many as it has time for.
-void Membership::tellLeaving()
+/// Notifies members directly that this router leaves, as many as there is time for. Other members
+/// disseminate the update only a bounded number of times; a member that it does not reach would
+/// name the stopped router to callers until probes fail.
+void Membership::announceLeave()
 {
-    for (int i = 0; i < m_options.timing.gossipFanout && !m_untold.empty(); ++i) {
-        const auto it = m_members.find(m_untold.back());
-        m_untold.pop_back();
+    for (int i = 0; i < m_options.timing.gossipFanout && !m_leaveRecipients.empty(); ++i) {
+        const auto it = m_members.find(m_leaveRecipients.back());
+        m_leaveRecipients.pop_back();
         if (it == m_members.end())
             continue;
-        PeerMessage told = compose(PeerMessageKind::Gossip, it->first);
-        told.news = {m_self};
-        sendTo(it->second, std::move(told));
+        PeerMessage notice = compose(PeerMessageKind::Gossip, it->first);
+        notice.updates = {m_self};
+        sendTo(it->second, std::move(notice));
     }
-    if (!m_untold.empty())
-        m_gossipAgain = m_options.clock.now() + GossipPause;
+    if (!m_leaveRecipients.empty())
+        m_gossipRepeatAt = m_options.clock.now() + GossipPause;
 }
 
 std::size_t Membership::liveCount() const
--- a/src/Control/WeightBudget.cpp
+++ b/src/Control/WeightBudget.cpp
@@ -9,13 +9,13 @@
 WeightBudget::WeightBudget(Options options) : m_options(std::move(options))
 {
     for (std::size_t i = 0; i < m_options.slots; ++i) {
-        m_slots.push_back(std::make_unique<LeaseKeeper>(
-                LeaseKeeper::Options{.clock = m_options.clock,
-                                     .random = [this] { return m_options.random(); },
-                                     .table = m_options.table,
-                                     .key = fmt::format("lease/weights/{}", i),
-                                     .self = m_options.self,
-                                     .takeInterval = m_options.takeInterval}));
+        m_slots.push_back(std::make_unique<LeaseManager>(
+                LeaseManager::Options{.clock = m_options.clock,
+                                      .random = [this] { return m_options.random(); },
+                                      .table = m_options.table,
+                                      .key = fmt::format("lease/weights/{}", i),
+                                      .self = m_options.self,
+                                      .acquireInterval = m_options.acquireInterval}));
     }
 }
 
@@ -49,8 +49,8 @@
 
 void WeightBudget::update()
 {
-    // All slots are watched, since a dead holder's is seen to be free only after a whole lease of
-    // silence; once one is held the others are let go.
+    // Tries to take all slots, as the slot of a stopped holder is detected as free only after a
+    // whole lease without renewal. Once one slot is held, the others are released.
     const bool wanted = m_wanted || isPaused();
     bool found = false;
     for (const auto &it : m_slots) {
--- a/src/Decide/AdmissionQueue.cpp
+++ b/src/Decide/AdmissionQueue.cpp
@@ -12,16 +12,18 @@
 
 using namespace std::chrono_literals;
 
-/// Shares of the two classes while both wait; the smaller bounds how much the rest can be slowed.
+/// Shares of the protected and the other workspaces while both wait. The smaller share bounds how
+/// much the other workspaces can be slowed down.
 constexpr std::array ClassWeights = {4.0, 1.0};
 
-/// A router's queue over all workspaces, in queues of one workspace. A longer one would only hold
-/// requests that the sojourn limit refuses later.
-constexpr std::size_t QueuesAtOnce = 8;
+/// Maximum length of the queue over all workspaces, as a multiple of `rules.queue_length`. A longer
+/// queue would only hold requests that later expire by `rules.queue_sojourn`.
+constexpr std::size_t MaxFullQueues = 8;
 
-/// A hint under it would have callers knock in vain; over it, they would miss freed capacity.
-constexpr Duration MinHint = 100ms;
-constexpr Duration MaxHint = 30s;
+/// Bounds of Retry-After. A shorter time would cause retries that are refused again; after a longer
+/// time, callers would leave freed capacity unused.
+constexpr Duration MinRetryAfter = 100ms;
+constexpr Duration MaxRetryAfter = 30s;
 
 constexpr double IntervalSmoothing = 0.05;
 
@@ -37,7 +39,8 @@
 {
     Flow &flow = m_flows[workspace];
     if (flow.jobs.empty()) {
-        // Only an idle flow may change its class: a waiting one is filed under the old.
+        // Only an idle flow may change its class, because a flow with jobs is stored in its old
+        // class.
         const Workspace *found = m_inventory ? m_inventory->workspace(workspace) : nullptr;
         flow.workspace = workspace;
         flow.weight = found ? found->weight : 1;
@@ -54,9 +57,9 @@
         Error error = fullError(flow);
         return std::pair(std::move(entry), std::move(error));
     }
-    // Half of the time left stays for the caller to go elsewhere after a refusal.
-    entry.since = now;
-    entry.limit = now + std::min(rules().queueSojourn, (entry.job.deadline - now) / 2);
+    // Half of the remaining time is left to the caller for another attempt after a refusal.
+    entry.submittedAt = now;
+    entry.expiresAt = now + std::min(rules().queueSojourn, (entry.job.deadline - now) / 2);
     Class &group = classOf(flow);
     if (flow.jobs.empty()) {
         if (group.flows.empty())
@@ -68,9 +71,9 @@
         return it.job.priority < entry.job.priority;
     });
     const JobId id = entry.job.id;
-    m_limits.emplace(entry.limit, id);
+    m_expiries.emplace(entry.expiresAt, id);
     m_byId[id] = {.workspace = flow.workspace, .it = flow.jobs.insert(after, std::move(entry))};
-    if (size() <= QueuesAtOnce * static_cast<std::size_t>(rules().queueLength))
+    if (size() <= MaxFullQueues * static_cast<std::size_t>(rules().queueLength))
         return std::nullopt;
     return shed();
 }
@@ -86,8 +89,9 @@
                         {"queue_length", static_cast<double>(rules().queueLength)}}};
 }
 
-/// Load: many workspaces surge at once. Whoever waits with most for its weight loses its newest
-/// job; protected workspaces lose one only where nobody else waits.
+/// Handles surges of many workspaces at once. Removes the last job of the workspace whose queue is
+/// longest in relation to its weight. Protected workspaces lose a job only if no other workspace
+/// has jobs in the queue.
 std::pair<AdmissionQueue::Entry, Error> AdmissionQueue::shed()
 {
     Flow *victim = nullptr;
@@ -104,12 +108,12 @@
     }
     const std::size_t waiting = size();
     Error error{.reason = Reason::ShedByRule,
-                .detail = "the workspace with most waiting for its weight gives way",
+                .detail = "the workspace has the longest queue in relation to its weight",
                 .retryAfter = expectedWait(victim->jobs.size()),
                 .rule = "workspaces.protected",
                 .figures = {{"waiting_requests", static_cast<double>(waiting)},
                             {"workspace_waiting", static_cast<double>(victim->jobs.size())}}};
-    return {takeOut(*victim, std::prev(victim->jobs.end())), std::move(error)};
+    return {removeEntry(*victim, std::prev(victim->jobs.end())), std::move(error)};
 }
 
 const AdmissionQueue::Flow *AdmissionQueue::nextFlow() const
@@ -139,21 +143,21 @@
     group.flows.erase({flow.start, flow.workspace});
     flow.start += work / flow.weight;
     group.flows.emplace(flow.start, flow.workspace);
-    return takeOut(flow, flow.jobs.begin());
+    return removeEntry(flow, flow.jobs.begin());
 }
 
-AdmissionQueue::Entry AdmissionQueue::takeOut(Flow &flow, std::list<Entry>::iterator it)
+AdmissionQueue::Entry AdmissionQueue::removeEntry(Flow &flow, std::list<Entry>::iterator it)
 {
     Entry out = std::move(*it);
     flow.jobs.erase(it);
-    m_limits.erase({out.limit, out.job.id});
+    m_expiries.erase({out.expiresAt, out.job.id});
     m_byId.erase(out.job.id);
     if (!flow.jobs.empty())
         return out;
     Class &group = classOf(flow);
     group.flows.erase({flow.start, flow.workspace});
-    // An idle flow that is behind the class's time starts from there again, so forgetting it
-    // changes nothing and keeps 3,600 workspaces from piling up.
+    // An idle flow that is behind the virtual time of its class restarts at that time. Erasing it
+    // does not change the order and bounds the memory when there are thousands of workspaces.
     if (flow.start <= group.virtualTime || empty())
         m_flows.erase(flow.workspace);
     return out;
@@ -161,10 +165,10 @@
 
 std::optional<AdmissionQueue::Entry> AdmissionQueue::popExpired(TimePoint now)
 {
-    if (m_limits.empty() || m_limits.begin()->first > now)
+    if (m_expiries.empty() || m_expiries.begin()->first > now)
         return std::nullopt;
-    const Place place = m_byId.at(m_limits.begin()->second);
-    return takeOut(m_flows.at(place.workspace), place.it);
+    const Position position = m_byId.at(m_expiries.begin()->second);
+    return removeEntry(m_flows.at(position.workspace), position.it);
 }
 
 bool AdmissionQueue::remove(JobId id)
@@ -172,8 +176,8 @@
     const auto found = m_byId.find(id);
     if (found == m_byId.end())
         return false;
-    const Place place = found->second;
-    takeOut(m_flows.at(place.workspace), place.it);
+    const Position position = found->second;
+    removeEntry(m_flows.at(position.workspace), position.it);
     return true;
 }
 
@@ -181,21 +185,24 @@
 {
     if (m_lastCompletion != TimePoint()) {
         const double gap = toSeconds(now - m_lastCompletion);
-        m_interval += (m_interval == 0 ? 1 : IntervalSmoothing) * (gap - m_interval);
+        m_completionInterval +=
+                (m_completionInterval == 0 ? 1 : IntervalSmoothing) * (gap - m_completionInterval);
     }
     m_lastCompletion = now;
 }
 
 Duration AdmissionQueue::expectedWait(std::size_t jobs) const
 {
-    // Before the first completions nothing is known; a second is the usual length of a request.
-    const double interval = m_interval == 0 ? 1 : m_interval;
-    return std::clamp(fromSeconds(interval * static_cast<double>(jobs)), MinHint, MaxHint);
+    // The rate is unknown before the first completions. One second is the usual duration of a
+    // request.
+    const double interval = m_completionInterval == 0 ? 1 : m_completionInterval;
+    return std::clamp(fromSeconds(interval * static_cast<double>(jobs)), MinRetryAfter,
+                      MaxRetryAfter);
 }
 
-TimePoint AdmissionQueue::firstLimit() const
+TimePoint AdmissionQueue::nextExpiry() const
 {
-    return m_limits.empty() ? TimePoint::max() : m_limits.begin()->first;
+    return m_expiries.empty() ? TimePoint::max() : m_expiries.begin()->first;
 }
 
 std::string AdmissionQueue::workspaceOf(JobId id) const
--- a/src/Decide/ConcurrencyLimit.h
+++ b/src/Decide/ConcurrencyLimit.h
@@ -6,21 +6,22 @@
 
 namespace catkinloft {
 
-/// \brief How many requests one upstream takes at a time: additive increase, multiplicative
-/// decrease, never above what the inventory states.
+/// \brief Adaptive limit of the requests in progress on one upstream, with additive increase and
+/// multiplicative decrease (AIMD). It never exceeds the slots stated in the inventory.
 ///
-/// Load: an upstream that is slower than its inventory entry says. Harm prevented: work that waits
-/// inside the upstream can be neither ordered by workspace nor refused in time.
+/// Handles an upstream that is slower than its inventory entry states. Prevents requests from
+/// waiting inside the upstream, where they can neither be ordered by workspace nor be refused in
+/// time.
 class ConcurrencyLimit
 {
 public:
-    void setMost(int slots)
+    void setMaximum(int slots)
     {
-        // An upstream starts at its stated slots: the inventory is right until an overload shows.
-        if (m_most == 0)
+        // The slots stated in the inventory are used until an overload is observed.
+        if (m_maximum == 0)
             m_limit = slots;
-        m_most = slots;
-        m_limit = std::min(m_limit, static_cast<double>(m_most));
+        m_maximum = slots;
+        m_limit = std::min(m_limit, static_cast<double>(m_maximum));
     }
 
     bool allows(int inFlight) const { return inFlight < static_cast<int>(m_limit); }
@@ -34,14 +35,14 @@
         if (overloaded)
             m_limit = std::max(1.0, m_limit * Decrease);
         else if (report.succeeded)
-            m_limit = std::min(static_cast<double>(m_most), m_limit + 1 / m_limit);
+            m_limit = std::min(static_cast<double>(m_maximum), m_limit + 1 / m_limit);
     }
 
 private:
-    // Gentle enough that the failures of one batch of requests leave a limit above 1.
+    // The decrease is so small that the failures of one batch of requests leave a limit above 1.
     static constexpr double Decrease = 0.9;
 
-    int m_most = 0;
+    int m_maximum = 0;
     double m_limit = 1;
 };
 
--- a/src/Decide/Decide.h
+++ b/src/Decide/Decide.h
@@ -1,15 +1,16 @@
 #pragma once
 
 /// \file
-/// \brief Module Decide: what is decided under load, without sockets, threads or time of its own.
+/// \brief Module Decide: admission, placement, health and quarantine decisions. Uses no sockets,
+/// threads or system clock.
 
 #include "Decide/AdmissionQueue.h" // IWYU pragma: export
 #include "Decide/ChatOrder.h" // IWYU pragma: export
-#include "Decide/ColdPace.h" // IWYU pragma: export
+#include "Decide/ColdRateLimit.h" // IWYU pragma: export
 #include "Decide/ConcurrencyLimit.h" // IWYU pragma: export
+#include "Decide/ConnectionReusePolicy.h" // IWYU pragma: export
 #include "Decide/Dispatcher.h" // IWYU pragma: export
 #include "Decide/HealthTracker.h" // IWYU pragma: export
-#include "Decide/IdleTrust.h" // IWYU pragma: export
 #include "Decide/Job.h" // IWYU pragma: export
 #include "Decide/LoadReport.h" // IWYU pragma: export
 #include "Decide/OwnerGroups.h" // IWYU pragma: export
--- /dev/null
+++ b/src/Decide/FleetRetryBudget.h
@@ -0,0 +1,60 @@
+#pragma once
+
+#include "Base/Clock.h"
+
+#include <array>
+#include <cstdint>
+
+namespace catkinloft {
+
+/// \brief Limits the retries of requests to one service over all routers, without messages between
+/// the routers.
+///
+/// Handles a service that fails many requests at once on every router. Prevents retries from
+/// multiplying the traffic while the service is overloaded. The limit over all routers is a share
+/// of the requests plus a fixed slack in any window. Each router limits itself to that share of its
+/// own requests and to its part of the slack, so the fleet stays within the limit also while
+/// routers receive no messages from each other.
+class FleetRetryBudget
+{
+public:
+    struct Options
+    {
+        const Clock &clock;
+        double share = 0.2; ///< Retries allowed per request, over all routers.
+        double slack = 0; ///< Additional retries allowed per window, over all routers.
+        Duration window =
+                std::chrono::seconds(10); ///< The limit holds in any interval of this length.
+    };
+
+    explicit FleetRetryBudget(Options options) : m_options(options) { }
+
+    /// \brief Counts the first attempt of a request.
+    void countRequest();
+
+    /// \brief Requests permission for a retry and counts it if it is allowed.
+    /// \param routers number of routers that share the slack.
+    /// \returns whether the retry is allowed.
+    bool tryRetry(int routers);
+
+    /// \brief Changes the limits and keeps the counts.
+    void setOptions(double share, double slack);
+
+private:
+    static constexpr std::size_t Slots = 12; ///< Tenths of a window, plus one on each side.
+
+    struct Slot
+    {
+        std::int64_t number = -1;
+        int requests = 0;
+        int retries = 0;
+    };
+
+    std::int64_t slotNumber() const;
+    Slot &currentSlot();
+
+    Options m_options;
+    std::array<Slot, Slots> m_slots;
+};
+
+} // namespace catkinloft
--- a/src/Net/ClaimPump.h
+++ b/src/Net/ClaimDriver.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Net/Timer.h"
-#include "Request/ClaimKeeper.h"
+#include "Request/ClaimManager.h"
 #include "Request/ClaimSweeper.h"
 
 #include <functional>
@@ -10,8 +10,8 @@
 
 class EventLoop;
 
-/// \brief Drives ClaimKeeper and ClaimSweeper by the event loop.
-class ClaimPump
+/// \brief Drives ClaimManager and ClaimSweeper by timers of the event loop.
+class ClaimDriver
 {
 public:
     struct Options
@@ -22,12 +22,12 @@
         Metrics &metrics;
         RandomSource random;
         std::string router;
-        std::function<std::size_t()> routers; ///< How many share the sweeping.
+        std::function<std::size_t()> routers; ///< Number of routers that share the sweeping.
     };
 
-    explicit ClaimPump(Options options);
+    explicit ClaimDriver(Options options);
 
-    ClaimKeeper &keeper() { return m_keeper; }
+    ClaimManager &manager() { return m_manager; }
 
 private:
     void schedule();
@@ -36,7 +36,7 @@
     EventLoop &m_loop;
     bool m_started = false;
     Timer m_timer;
-    ClaimKeeper m_keeper;
+    ClaimManager m_manager;
     ClaimSweeper m_sweeper;
 };
 
--- a/src/Net/EntryCall.cpp
+++ b/src/Net/EntryCall.cpp
@@ -16,63 +16,66 @@
 
 using namespace std::chrono_literals;
 
-/// A new connection takes a round trip and a millisecond; a replica that needs this long is not
-/// reached. Short, since a call of 150 ms has to be placed elsewhere and still be on time.
+/// Opening a connection takes a round trip plus about a millisecond, so a replica that takes this
+/// long is unreachable. The timeout is small because a call that has to be answered within 150 ms
+/// must still reach another replica in time.
 constexpr Duration ConnectTimeout = 150ms;
 
-/// How long a replica is left out after it refused a connection. Restarts take seconds.
+/// Time for which a replica is excluded after it refused a connection. Restarts take seconds.
 constexpr Duration UnreachablePause = 1s;
 
-/// How long a replica is left out after it was too full for a request. It frees a place in tens of
-/// milliseconds, and other routers send to it too.
+/// Time for which a replica is excluded after it had no free slot for a request. Slots become free
+/// within tens of milliseconds, and other routers send to the replica too.
 constexpr Duration FullPause = 100ms;
 
-/// How long an address is left out at which another replica answered; by then the list is new.
+/// Time for which an address is excluded after another replica answered there. The list of replicas
+/// is updated within this time.
 constexpr Duration MisdirectedPause = 3s;
 
-/// Longest pause of a resumable stream, as a multiple of the pause that is still on time, and at
-/// least. Callers give up after eight times that pause and two seconds; half of it leaves time for
-/// the replica that goes on.
+/// A resumable stream counts as stalled after StallFactor times the largest permitted gap between
+/// events, but not before MinStallTimeout. Callers give up after eight times that gap plus two
+/// seconds; half of it leaves the replica that resumes the stream enough time.
 constexpr int StallFactor = 3;
-constexpr Duration MinStall = 1200ms;
+constexpr Duration MinStallTimeout = 1200ms;
 
-/// Part of an idempotent call's time after which another replica is asked.
-constexpr int SilenceParts = 2;
+/// An idempotent call is sent to another replica after its timeout divided by this number.
+constexpr int SilenceTimeoutDivisor = 2;
 
-/// Least time for which sending again makes sense.
-constexpr Duration MinRepeatTime = 20ms;
+/// A retry needs at least this much time to be useful.
+constexpr Duration MinRetryTime = 20ms;
 
-/// Replicas that may end under one request of a caller, where none had ended under it before. The
-/// second may have ended by chance; more would cost the others of the service more than the one
-/// request is worth.
-constexpr int MaxEndedReplicas = 2;
+/// Replicas that may crash during attempts of one request if no replica had crashed under it
+/// before. The second crash may be a coincidence; further crashes would harm the other callers of
+/// the service more than the request is worth.
+constexpr int MaxCrashedReplicas = 2;
 
-/// What is taken off the caller's time for the way back.
-constexpr Duration ReturnTime = 5ms;
+/// Part of the caller's time that is reserved for returning the answer.
+constexpr Duration AnswerReserve = 5ms;
 
-/// The request came to another replica than it names.
+/// Status of a request that reached another replica than the one it names.
 constexpr int Misdirected = 421;
 
-/// Longest answer that is held, as opposed to relayed.
-constexpr std::size_t MaxHeldAnswer = 16 * 1024 * 1024;
+/// Longest answer that is buffered as a whole; streams are forwarded as they arrive.
+constexpr std::size_t MaxBufferedAnswer = 16 * 1024 * 1024;
 
-/// When a caller whose request nobody could take may come back, and how far callers are spread so
-/// that they do not return together.
+/// Delay after which a caller may retry if no replica was available, and the range of the random
+/// delay added to it so that callers do not retry at the same time.
 constexpr Duration RetryBase = 200ms;
-constexpr Duration RetrySpread = 300ms;
+constexpr Duration RetryJitter = 300ms;
 
 bool isSuccess(int status)
 {
     return status >= 200 && status < 300;
 }
 
-/// These promise that the request did not run; without the replica's word they can't be passed on.
+/// These statuses promise that the request did not run. They are forwarded only if the replica
+/// states it explicitly.
 bool promisesNotRun(int status)
 {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-/// Fractions of a second: callers honour them, and a whole second is a third of a call's time.
+/// Callers accept fractions of a second; a whole second would be a third of the time of a call.
 std::string retryAfterText(Duration d)
 {
     return fmt::format("{:.3f}", toSeconds(d));
@@ -99,7 +102,7 @@
             m_exchange->closeAfterAnswer();
         return refuse(passed.error());
     }
-    if (m_context.refusesNew()) {
+    if (m_context.isShuttingDown()) {
         m_exchange->closeAfterAnswer();
         return refuse({.reason = Reason::Draining,
                        .detail = "this router is shutting down",
@@ -110,20 +113,20 @@
     m_deadline = m_request.deadline();
     m_deadlineTimer.start(std::max<Duration>(1ms, m_deadline - m_context.loop.now()));
     pickService();
-    m_service->repeats.countRequest();
+    m_service->retryBudget.countRequest();
     if (!isStreaming() && m_context.settings.mechanisms.loadShedding
         && !m_service->shedder.admits())
-        return refuse(
-                {.reason = Reason::EnginesSaturated,
-                 .detail = fmt::format("{} gets more calls than it can do in time", m_serviceName),
-                 .retryAfter = RetryBase,
-                 .figures = {{"admitted_share", m_service->shedder.share()}}});
+        return refuse({.reason = Reason::EnginesSaturated,
+                       .detail = fmt::format("{} receives more calls than it can complete in time",
+                                             m_serviceName),
+                       .retryAfter = RetryBase,
+                       .figures = {{"admitted_share", m_service->shedder.share()}}});
     attempt();
 }
 
 void EntryCall::readRequest()
 {
-    m_request.arrivedAt = m_context.loop.now();
+    m_request.receivedAt = m_context.loop.now();
     m_request.method = m_exchange->method();
     m_request.path = m_exchange->path();
     m_request.target = m_exchange->path();
@@ -154,7 +157,7 @@
 
 Duration EntryCall::remaining() const
 {
-    return m_deadline - m_context.loop.now() - ReturnTime;
+    return m_deadline - m_context.loop.now() - AnswerReserve;
 }
 
 void EntryCall::attempt()
@@ -164,39 +167,39 @@
     if (const Result<void> proven = m_context.filters.checkProof(m_request); !proven) {
         Error error = proven.error();
         error.verdict = combine(m_verdict, error.verdict);
-        return m_begun ? breakOff(error) : refuse(error);
+        return m_headSent ? breakOff(error) : refuse(error);
     }
     if (const std::optional<Error> held = quarantineError())
-        return m_begun ? breakOff(*held) : refuse(*held);
+        return m_headSent ? breakOff(*held) : refuse(*held);
     const ReplicaPool::Choice choice = chooseReplica();
     if (choice.replica)
         return send(choice);
     const Error error{.reason = Reason::NoLiveEngine,
                       .verdict = m_verdict,
-                      .detail = fmt::format("no replica of {} can take it", m_serviceName),
-                      .retryAfter = comeBackAfter(),
+                      .detail = fmt::format("no replica of {} can take the request", m_serviceName),
+                      .retryAfter = retryDelay(),
                       .figures = {{"usable_replicas",
                                    static_cast<double>(m_service->replicas.usableCount())}}};
-    m_begun ? breakOff(error) : refuse(error);
+    m_headSent ? breakOff(error) : refuse(error);
 }
 
 ReplicaPool::Choice EntryCall::chooseReplica()
 {
     ReplicaPool::Query query{.prompt = m_request.sharedPrompt(),
-                             .excluded = m_sendings.failed(),
-                             .repeatable = m_request.route->isIdempotent(),
+                             .excluded = m_history.failed(),
+                             .retryable = m_request.route->isIdempotent(),
                              .regions = m_request.route->regions};
     if (m_request.workspace)
         query.workspaceRegions = m_request.workspace->regions;
-    // The route bounds how many replicas may get it, not how often one does.
-    if (m_sendings.isBoundToReached(*m_request.route)) {
+    // The route limits how many replicas may get the request, not how often each one gets it.
+    if (m_history.isLimitedToReached(*m_request.route)) {
         query.excluded = {};
-        query.only = m_sendings.reached();
+        query.only = m_history.reached();
     }
     const ReplicaPool::Choice choice = m_service->replicas.choose(query);
     if (choice.replica || query.excluded.empty())
         return choice;
-    // The only replica left may answer this time.
+    // All other replicas failed or are unavailable; a replica that failed may answer this time.
     query.excluded = {};
     return m_service->replicas.choose(query);
 }
@@ -215,7 +218,7 @@
 
 std::optional<Error> EntryCall::quarantineError()
 {
-    // Most of the time nothing is suspected, and no body needs to be hashed.
+    // The quarantine is usually empty; hashing the body is avoided then.
     if (!m_context.settings.mechanisms.requestQuarantine || m_context.quarantine.isEmpty()
         || !m_context.quarantine.isHeld(fingerprint()))
         return std::nullopt;
@@ -225,16 +228,16 @@
         return std::nullopt;
     return Error{.reason = Reason::RequestQuarantined,
                  .verdict = m_verdict,
-                 .detail =
-                         fmt::format("request {} is held back: replicas {} ended while they ran it",
-                                     held->fingerprint, fmt::join(held->replicas, " ")),
+                 .detail = fmt::format(
+                         "request {} is quarantined: replicas {} crashed while they processed it",
+                         held->fingerprint, fmt::join(held->replicas, " ")),
                  .retryAfter = held->remaining,
                  .figures = {{"ended_replicas", static_cast<double>(held->replicas.size())}}};
 }
 
-bool EntryCall::mayHaveEndedReplica(const Error &error) const
+bool EntryCall::mayHaveCrashedReplica(const Error &error) const
 {
-    // One that leaves ends by plan, with whatever is still in progress.
+    // A replica that is leaving stops on purpose and breaks the requests still in progress.
     return m_context.settings.mechanisms.requestQuarantine && error.reason == Reason::UpstreamBroken
             && error.verdict != Verdict::NotRun && m_service->replicas.isServing(m_incarnation);
 }
@@ -244,29 +247,29 @@
     return m_context.quarantine.isEmpty() ? 0 : m_context.quarantine.suspicion(fingerprint());
 }
 
-void EntryCall::checkReplicaEnd(const Error &error)
+void EntryCall::checkForCrash(const Error &error)
 {
     m_call.reset();
-    const CrashWatch::BrokenRun run{.requestId = id(),
-                                    .fingerprint = fingerprint(),
-                                    .replica = m_incarnation,
-                                    .software = m_replica.software(),
-                                    .address = m_replica.address,
-                                    .sentAt = m_attemptBegan};
-    const auto patience =
-            suspicion() > 0 ? CrashWatch::Patience::Long : CrashWatch::Patience::Short;
-    m_context.crashes.runBroke(run, patience,
-                               [weak = weak_from_this(), number = m_attempt, error](bool ended) {
-                                   const auto self = weak.lock();
-                                   if (self && self->m_attempting && self->m_attempt == number)
-                                       self->replicaEndChecked(error, ended);
-                               });
-}
-
-void EntryCall::replicaEndChecked(const Error &error, bool ended)
-{
-    m_endedReplicas += ended ? 1 : 0;
-    endAttempt(false, error.reason, ended);
+    const CrashWatch::BrokenAttempt broken{.requestId = id(),
+                                           .fingerprint = fingerprint(),
+                                           .replica = m_incarnation,
+                                           .software = m_replica.software(),
+                                           .address = m_replica.address,
+                                           .sentAt = m_attemptStartedAt};
+    const auto criterion = suspicion() > 0 ? CrashWatch::AliveCriterion::StaysOpen
+                                           : CrashWatch::AliveCriterion::Accepts;
+    m_context.crashes.checkReplica(
+            broken, criterion, [weak = weak_from_this(), number = m_attempt, error](bool crashed) {
+                const auto self = weak.lock();
+                if (self && self->m_attempting && self->m_attempt == number)
+                    self->crashChecked(error, crashed);
+            });
+}
+
+void EntryCall::crashChecked(const Error &error, bool crashed)
+{
+    m_crashedReplicas += crashed ? 1 : 0;
+    endAttempt(false, error.reason, crashed);
     attemptFailed(error);
 }
 
@@ -274,21 +277,21 @@
 {
     m_replica = *choice.replica;
     m_incarnation = m_replica.incarnation();
-    m_attemptBegan = m_context.loop.now();
-    m_heardAt = m_attemptBegan;
+    m_attemptStartedAt = m_context.loop.now();
+    m_lastReceivedAt = m_attemptStartedAt;
     m_firstByte.reset();
     m_head = {};
     m_answer = {};
     m_body.clear();
     m_reader.reset();
-    m_order.connected();
+    m_order.beginConnection();
     m_relaying = false;
-    m_heardEvent = false;
+    m_receivedEvent = false;
     m_attempting = true;
     ++m_attempt;
-    m_stallLimit = stallLimit();
-    m_readsWholePrompt = choice.keptTokens == 0 && !choice.copyFrom;
-    m_sendings.sent(m_incarnation);
+    m_stallTimeout = stallTimeout();
+    m_isPromptUncached = choice.cachedPromptTokens == 0 && !choice.copyFrom;
+    m_history.sent(m_incarnation);
     const std::string copyFrom = choice.copyFrom ? choice.copyFrom->address : std::string();
     reportSent(choice);
     m_service->replicas.started(m_incarnation, m_request.sharedPrompt());
@@ -303,7 +306,7 @@
     event.load = choice.load;
     event.meanLoad = choice.meanLoad;
     event.candidates = choice.candidates;
-    event.keptTokens = choice.keptTokens;
+    event.cachedPromptTokens = choice.cachedPromptTokens;
     for (const PromptPart &it : m_request.sharedPrompt())
         event.promptTokens += it.tokens;
     if (choice.copyFrom)
@@ -324,39 +327,40 @@
                                                            .lastEventId = m_order.last()}),
                  .body = std::string(m_exchange->body()),
                  .timeout =
-                         m_deadline - m_context.loop.now() + 1s, // The call's own timer is first.
-                 .maxBodyBytes = MaxHeldAnswer,
+                         m_deadline - m_context.loop.now() + 1s, // m_deadlineTimer expires first.
+                 .maxBodyBytes = MaxBufferedAnswer,
                  .connectTimeout = ConnectTimeout,
-                 .takesUnframed = true};
-    out.maxIdleAge = m_service->idle.limit(route.isIdempotent());
-    const bool another = m_sendings.mayRepeat(route);
-    if (another && route.kind == CallKind::Idempotent)
-        out.progressTimeout = route.timeout / SilenceParts;
-    else if (another && route.isIdempotent())
-        out.progressTimeout = m_stallLimit;
+                 .acceptsUnframed = true};
+    out.maxIdleAge = m_service->connectionReuse.limit(route.isIdempotent());
+    const bool hasAnotherAttempt = m_history.mayRetry(route);
+    if (hasAnotherAttempt && route.kind == CallKind::Idempotent)
+        out.progressTimeout = route.timeout / SilenceTimeoutDivisor;
+    else if (hasAnotherAttempt && route.isIdempotent())
+        out.progressTimeout = m_stallTimeout;
     if (out.progressTimeout > Duration::zero() && isStreaming())
-        out.firstByteTimeout = m_stallLimit + readingTime();
+        out.firstByteTimeout = m_stallTimeout + prefillTimeout();
     return out;
 }
 
-Duration EntryCall::readingTime() const
+Duration EntryCall::prefillTimeout() const
 {
-    if (!m_context.settings.mechanisms.promptPace)
+    if (!m_context.settings.mechanisms.prefillTimeouts)
         return Duration::zero();
-    return m_service->pace.allowance(m_request.facts.promptTokens);
+    return m_service->prefillEstimate.timeoutFor(m_request.facts.promptTokens);
 }
 
-Duration EntryCall::stallLimit() const
+Duration EntryCall::stallTimeout() const
 {
-    return std::max(MinStall,
+    return std::max(MinStallTimeout,
                     m_request.route->maxEventGap.value_or(Duration::zero()) * StallFactor);
 }
 
 void EntryCall::noteFirstEvent()
 {
-    if (std::exchange(m_heardEvent, true) || !m_readsWholePrompt)
+    if (std::exchange(m_receivedEvent, true) || !m_isPromptUncached)
         return;
-    m_service->pace.observe(m_request.facts.promptTokens, m_context.loop.now() - m_attemptBegan);
+    m_service->prefillEstimate.observe(m_request.facts.promptTokens,
+                                       m_context.loop.now() - m_attemptStartedAt);
 }
 
 HttpCallEvents EntryCall::attemptEvents()
@@ -382,35 +386,36 @@
 
 void EntryCall::onHead(const HttpHead &head)
 {
-    m_heardAt = m_context.loop.now();
-    m_firstByte = m_context.loop.now() - m_attemptBegan;
+    m_lastReceivedAt = m_context.loop.now();
+    m_firstByte = m_context.loop.now() - m_attemptStartedAt;
     m_head = head;
     m_answer = m_context.codec.decodeAnswer(head);
     noteReplicaState();
     if (!m_answer.requestId.empty() && m_answer.requestId != m_request.facts.id)
-        return failLater(Reason::AnswerMismatch, "the answer names another request");
+        return failLater(Reason::AnswerMismatch, "the answer carries the id of another request");
     if (!isSuccess(head.status))
         return;
     if (!m_answer.isSigned)
         return failLater(Reason::AnswerMismatch, "the answer is not signed by its replica");
     if (!head.header("Content-Encoding").empty())
-        return failLater(Reason::AnswerMismatch, "the answer is encoded though nobody asked");
+        return failLater(Reason::AnswerMismatch,
+                         "the answer has a content encoding that was not requested");
     if (isStreaming())
         beginRelay();
 }
 
-/// What a replica says of itself holds whatever the answer is worth, and also for the requests that
-/// are sent before it is whole.
+/// The state that a replica reports about itself is valid even if the answer is rejected. It is
+/// applied before the answer is complete, so that requests sent meanwhile respect it.
 void EntryCall::noteReplicaState()
 {
     const bool isAnother = m_head.status == Misdirected;
     if (m_answer.isLeaving && !isAnother)
-        m_context.replicaLeaves(m_incarnation);
+        m_context.replicaLeaving(m_incarnation);
     if (m_answer.isLeaving && isAnother)
-        m_context.othersLeave(m_replica.address, m_replica.id);
+        m_context.replicaLeavingAt(m_replica.address, m_replica.id);
     if (!m_answer.pause || isAnother)
         return;
-    m_service->replicas.leaveOut(m_incarnation, *m_answer.pause);
+    m_service->replicas.excludeFor(m_incarnation, *m_answer.pause);
     m_context.metrics.count("catkinloft_replica_pauses_total");
     Log::info("replica_pauses",
               {{"request_id", id()},
@@ -419,14 +424,14 @@
                {"for_ms", *m_answer.pause / 1ms}});
 }
 
-Duration EntryCall::comeBackAfter() const
+Duration EntryCall::retryDelay() const
 {
-    return std::max(RetryBase, m_service->replicas.untilReturn());
+    return std::max(RetryBase, m_service->replicas.timeUntilAvailable());
 }
 
 void EntryCall::failLater(Reason reason, std::string detail)
 {
-    // The connection may not be freed from within its own callback.
+    // The connection must not be destroyed from within its own callback.
     m_context.loop.post([weak = weak_from_this(), number = m_attempt, reason,
                          detail = std::move(detail)] {
         const auto self = weak.lock();
@@ -440,11 +445,11 @@
 
 void EntryCall::onData(std::string_view data)
 {
-    m_heardAt = m_context.loop.now();
+    m_lastReceivedAt = m_context.loop.now();
     if (m_relaying) {
         noteFirstEvent();
         if (!m_reader.feed(data, [this](const SseEvent &event) { relay(event); }))
-            failLater(Reason::UpstreamBroken, "an event is longer than any can be");
+            failLater(Reason::UpstreamBroken, "an event of the stream is longer than the limit");
     } else if (m_head.status != 0) {
         m_body += data;
     }
@@ -453,9 +458,9 @@
 void EntryCall::beginRelay()
 {
     m_relaying = true;
-    if (m_begun)
+    if (m_headSent)
         return;
-    m_begun = true;
+    m_headSent = true;
     m_exchange->onDrained([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->m_call)
@@ -467,18 +472,18 @@
 void EntryCall::relay(const SseEvent &event)
 {
     if (!m_relaying)
-        return; // An event before it has ended the attempt.
+        return; // An earlier event of the same chunk ended the attempt.
     const std::optional<std::int64_t> last = m_order.last();
     switch (m_order.take(event.id)) {
-    case EventOrder::Step::Deliver:
+    case EventOrder::Disposition::Deliver:
         break;
-    case EventOrder::Step::Skip:
+    case EventOrder::Disposition::Skip:
         return;
-    case EventOrder::Step::Gap:
+    case EventOrder::Disposition::Gap:
         return failLater(Reason::UpstreamBroken,
-                         fmt::format("the stream was to go on behind event {} and began with {}",
+                         fmt::format("the stream was to resume after event {} and began with {}",
                                      *last, *event.id));
-    case EventOrder::Step::Disorder:
+    case EventOrder::Disposition::Disorder:
         return failLater(Reason::UpstreamBroken,
                          fmt::format("event {} came after a later one; the last delivered is {}",
                                      *event.id, *last));
@@ -494,19 +499,19 @@
     finish(RequestEvent::Kind::Answered, m_head.status, nullptr);
 }
 
-void EntryCall::endAttempt(bool succeeded, Reason reason, bool blameless)
+void EntryCall::endAttempt(bool succeeded, Reason reason, bool ignoredForHealth)
 {
     if (!std::exchange(m_attempting, false))
         return;
     m_call.reset();
-    const Duration total = m_context.loop.now() - m_attemptBegan;
+    const Duration total = m_context.loop.now() - m_attemptStartedAt;
     const bool ejected =
             m_service->replicas.finished(m_incarnation,
                                          {.succeeded = succeeded,
                                           .reason = reason,
                                           .untilFirstByte = m_firstByte.value_or(total),
                                           .total = total,
-                                          .blameless = blameless});
+                                          .ignoredForHealth = ignoredForHealth});
     if (ejected && m_context.replicaEjected)
         m_context.replicaEjected();
 }
@@ -519,9 +524,9 @@
                        .detail = "the stream ended within an event"};
     if (!result) {
         Error error = std::move(result.error());
-        noteForgottenConnection(error);
-        if (mayHaveEndedReplica(error))
-            return checkReplicaEnd(error);
+        noteStaleConnection(error);
+        if (mayHaveCrashedReplica(error))
+            return checkForCrash(error);
         endAttempt(false, error.reason);
         return attemptFailed(error);
     }
@@ -529,8 +534,8 @@
     if (isSuccess(m_head.status) && !m_context.quarantine.isEmpty())
         m_context.quarantine.completed(fingerprint());
     const bool failed = m_head.status >= 500 && !m_answer.notExecuted;
-    endAttempt(!failed, failed ? Reason::UpstreamBroken : Reason::Internal, m_sendings.count() > 1);
-    m_relaying ? endRelay() : takeAnswer();
+    endAttempt(!failed, failed ? Reason::UpstreamBroken : Reason::Internal, m_history.count() > 1);
+    m_relaying ? endRelay() : handleAnswer();
 }
 
 void EntryCall::noteLoad()
@@ -538,60 +543,62 @@
     if (isStreaming() || !m_context.settings.mechanisms.loadShedding)
         return;
     const std::size_t usable = m_service->replicas.usableCount();
-    // One that pauses says nothing about the others, and gets nothing that could be held back.
+    // A paused replica says nothing about the load of the others and receives no calls to shed.
     if (m_answer.pause)
         return;
     if (m_answer.notExecuted && m_head.status == 503)
         m_service->shedder.refused(m_incarnation, usable);
     else if (m_answer.load)
         m_service->shedder.answered(m_incarnation, *m_answer.load,
-                                    m_context.loop.now() - m_attemptBegan,
+                                    m_context.loop.now() - m_attemptStartedAt,
                                     m_request.route->targetLatency, usable);
 }
 
-void EntryCall::noteForgottenConnection(const Error &error)
+void EntryCall::noteStaleConnection(const Error &error)
 {
-    const Duration rested = m_call ? m_call->rested() : Duration::zero();
+    const Duration idleTime = m_call ? m_call->idleTime() : Duration::zero();
     if (error.reason != Reason::UpstreamBroken || m_firstByte
-        || !m_service->idle.broke(rested, m_context.loop.now() - m_attemptBegan))
+        || !m_service->connectionReuse.reportBroken(idleTime,
+                                                    m_context.loop.now() - m_attemptStartedAt))
         return;
     m_context.metrics.count("catkinloft_forgotten_connections_total");
     Log::info("idle_connection_forgotten",
               {{"request_id", id()},
                {"service", m_serviceName},
                {"replica", m_replica.id},
-               {"rested_ms", rested / 1ms},
-               {"trusted_ms", m_service->idle.limit(false) / 1ms}});
+               {"rested_ms", idleTime / 1ms},
+               {"trusted_ms", m_service->connectionReuse.limit(false) / 1ms}});
 }
 
-void EntryCall::takeAnswer()
+void EntryCall::handleAnswer()
 {
     const bool misdirected = m_head.status == Misdirected;
     if (m_answer.notExecuted || misdirected) {
         m_context.pools.of(m_serviceName)
-                .replicas.leaveOut(m_incarnation, misdirected ? MisdirectedPause : FullPause);
+                .replicas.excludeFor(m_incarnation, misdirected ? MisdirectedPause : FullPause);
         if (misdirected)
-            m_sendings.didNotArrive(m_incarnation);
+            m_history.didNotArrive(m_incarnation);
         return attemptFailed({.reason = Reason::UpstreamRefused,
                               .verdict = Verdict::NotRun,
-                              .detail = fmt::format("replica {} did not run it: {}", m_replica.id,
-                                                    m_head.status)});
+                              .detail = fmt::format("replica {} did not run the request: status {}",
+                                                    m_replica.id, m_head.status)});
     }
     if (promisesNotRun(m_head.status))
-        return attemptFailed({.reason = Reason::UpstreamRefused,
-                              .verdict = Verdict::MayHaveRun,
-                              .detail = "the replica refused without saying that it did not run"});
+        return attemptFailed(
+                {.reason = Reason::UpstreamRefused,
+                 .verdict = Verdict::MayHaveRun,
+                 .detail = "the replica refused without stating that the request did not run"});
     m_verdict = Verdict::Ran;
-    // An answer that is there is better than none.
-    const bool elsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
+    // If the request cannot be retried, this error answer is delivered: it is better than none.
+    const bool retryElsewhere = m_head.status >= 500 && m_request.route->isIdempotent()
             && m_service->replicas.usableCount() > 0;
-    if (elsewhere && mayRepeat(m_verdict)) {
+    if (retryElsewhere && mayRetry(m_verdict)) {
         m_context.report(describe(
                 RequestEvent::Kind::AttemptFailed,
                 {.reason = Reason::UpstreamBroken,
                  .verdict = Verdict::Ran,
                  .detail = fmt::format("replica {} answered {}", m_replica.id, m_head.status)}));
-        m_sendings.failedOn(m_incarnation);
+        m_history.failedOn(m_incarnation);
         return attempt();
     }
     deliver();
@@ -603,15 +610,15 @@
     finish(RequestEvent::Kind::Answered, m_head.status, nullptr);
 }
 
-bool EntryCall::mayRepeat(Verdict verdict)
+bool EntryCall::mayRetry(Verdict verdict)
 {
-    if (!m_sendings.mayRepeat(*m_request.route) || remaining() < MinRepeatTime
-        || m_endedReplicas >= MaxEndedReplicas || (m_endedReplicas > 0 && suspicion() > 1))
+    if (!m_history.mayRetry(*m_request.route) || remaining() < MinRetryTime
+        || m_crashedReplicas >= MaxCrashedReplicas || (m_crashedReplicas > 0 && suspicion() > 1))
         return false;
-    // A service that holds calls back has no room for those that it has worked on.
+    // A service that sheds calls has no capacity to process a call a second time.
     if (verdict != Verdict::NotRun && !isStreaming() && m_service->shedder.isShedding())
         return false;
-    if (!m_service->repeats.tryRepeat(m_context.sharers())) {
+    if (!m_service->retryBudget.tryRetry(m_context.sharingRouters())) {
         m_context.metrics.count("catkinloft_repeats_denied_total");
         return false;
     }
@@ -623,44 +630,44 @@
     m_context.report(describe(RequestEvent::Kind::AttemptFailed, error));
     m_context.metrics.retried(error.reason);
     m_verdict = combine(m_verdict, error.verdict);
-    m_sendings.failedOn(m_incarnation);
-    const bool unreached =
+    m_history.failedOn(m_incarnation);
+    const bool unreachable =
             error.reason == Reason::UpstreamUnreachable && error.verdict == Verdict::NotRun;
-    if (unreached) {
-        m_service->replicas.leaveOut(m_incarnation, UnreachablePause);
-        m_service->replicas.noteAway(m_incarnation);
+    if (unreachable) {
+        m_service->replicas.excludeFor(m_incarnation, UnreachablePause);
+        m_service->replicas.noteUnreachable(m_incarnation);
         m_context.client.dropIdle(m_replica.address);
-        if (m_sendings.wasUnreachable(m_incarnation))
+        if (m_history.wasUnreachable(m_incarnation))
             return attempt();
     }
-    // What the caller lacks can't be sent any more once it has a later event.
+    // A missing event cannot be delivered any more after a later one was.
     const bool safe = (error.verdict == Verdict::NotRun || m_request.route->isIdempotent())
-            && !m_order.isBroken();
-    if (!unreached && safe && mayRepeat(error.verdict))
+            && !m_order.hasLostEvent();
+    if (!unreachable && safe && mayRetry(error.verdict))
         return attempt();
-    if (m_endedReplicas > 0) {
+    if (m_crashedReplicas > 0) {
         if (const std::optional<Error> held = quarantineError())
-            return m_begun ? breakOff(*held) : refuse(*held);
+            return m_headSent ? breakOff(*held) : refuse(*held);
     }
     Error last = error;
     last.verdict = m_verdict;
     if (last.verdict == Verdict::NotRun)
-        last.retryAfter = comeBackAfter();
-    m_begun ? breakOff(last) : refuse(last);
+        last.retryAfter = retryDelay();
+    m_headSent ? breakOff(last) : refuse(last);
 }
 
 void EntryCall::deadlineExpired()
 {
     if (m_finished)
         return;
-    // What was sent and not answered may be running.
+    // A request that was sent and not answered may be running.
     const Verdict verdict = m_attempting ? Verdict::MayHaveRun : m_verdict;
     endAttempt(false, Reason::UpstreamTimeout, isStreaming() && !hasStalled());
     const Error error{.reason = Reason::DeadlineExpired,
                       .verdict = verdict,
-                      .detail = "no whole answer by the deadline",
+                      .detail = "no complete answer by the deadline",
                       .retryAfter = RetryBase};
-    m_begun ? breakOff(error) : refuse(error);
+    m_headSent ? breakOff(error) : refuse(error);
 }
 
 bool EntryCall::isStreaming() const
@@ -672,15 +679,15 @@
 {
     if (!isStreaming())
         return false;
-    const Duration reading = m_heardEvent ? Duration::zero() : readingTime();
-    return m_context.loop.now() - m_heardAt >= m_stallLimit + reading;
+    const Duration prefill = m_receivedEvent ? Duration::zero() : prefillTimeout();
+    return m_context.loop.now() - m_lastReceivedAt >= m_stallTimeout + prefill;
 }
 
 void EntryCall::callerGone()
 {
     if (m_finished)
         return;
-    // Callers leave a stream that pauses for two seconds or more: its replica is at fault then.
+    // Callers leave a stream that stalls for two seconds or more; the replica is at fault then.
     endAttempt(false, hasStalled() ? Reason::UpstreamTimeout : Reason::CallerGone);
     finish(RequestEvent::Kind::CallerGone, 0, nullptr);
 }
@@ -690,10 +697,10 @@
     const int status = Problem::status(error);
     HttpHeaders headers = m_context.codec.ownAnswerHeaders(m_request);
     headers.emplace_back("Content-Type", "application/problem+json");
-    // What ends replicas should not come back at once, even where it may have run.
+    // A request that crashes replicas must not be retried at once, even if it may have run.
     const bool isHeld = error.reason == Reason::RequestQuarantined;
     if ((status == 503 || isHeld) && error.retryAfter) {
-        const Duration spread = scaled(RetrySpread, uniform(m_context.random));
+        const Duration spread = scaled(RetryJitter, uniform(m_context.random));
         headers.emplace_back("Retry-After", retryAfterText(*error.retryAfter + spread));
     }
     m_context.metrics.refused(error.reason);
@@ -714,8 +721,8 @@
     RequestEvent out{.kind = kind,
                      .requestId = id(),
                      .service = m_serviceName,
-                     .elapsed = now - m_request.arrivedAt,
-                     .attempt = m_sendings.count(),
+                     .elapsed = now - m_request.receivedAt,
+                     .attempt = m_history.count(),
                      .replica = m_replica.id,
                      .address = m_replica.address};
     if (m_request.route) {
--- a/src/Net/EntryProcess.cpp
+++ b/src/Net/EntryProcess.cpp
@@ -1,10 +1,10 @@
 #include "Net/EntryProcess.h"
 
 #include "Base/Log.h"
-#include "Control/ConfigInForce.h"
+#include "Control/ActiveConfig.h"
 #include "Control/EvacuatedDomains.h"
 #include "Control/FleetRegistration.h"
-#include "Control/PromptSurvey.h"
+#include "Control/PromptDiscovery.h"
 #include "Control/ReplicaRegistry.h"
 #include "Control/StoreReadPlan.h"
 #include "Net/EntryGateway.h"
@@ -29,50 +29,55 @@
 
 using namespace std::chrono_literals;
 
-/// How often it is looked whether to try to register, and the least time between readings of who
-/// else is registered. The list only finds routers that nobody has heard, so it is read seldom: a
-/// call costs as much as a small request.
+/// Interval of checks whether to try to register, until registration is complete.
 constexpr Duration RegistrationPoll = 200ms;
+
+/// Shortest interval between reads of the registered routers. The list only finds routers from
+/// which no heartbeat was received, so it is read rarely: a call costs as much as a small request.
 constexpr Duration RegistrationInterval = 10s;
-constexpr Duration RegistrationPause = 500ms; ///< Least time between readings of the whole fleet.
 
-/// New work is still taken for this part of the time until the kill, from callers that keep an
-/// older address; long streams need the rest to end.
-constexpr double AcceptPart = 0.35;
+/// Shortest interval between reads by all routers together; the interval of one router is this
+/// times the number of routers.
+constexpr Duration RegistrationIntervalPerRouter = 500ms;
+
+/// Fraction of the stop timeout in which a draining process still accepts requests, from callers
+/// that use an outdated address. Long streams need the rest of the time to finish.
+constexpr double AcceptFraction = 0.35;
 
-/// Kept of the time until the kill for the end of the process itself.
+/// Part of the stop timeout that is reserved for the shutdown of the process itself.
 constexpr Duration StopMargin = 300ms;
 
 constexpr Duration DrainPoll = 50ms;
 
-/// How often it is looked which engines are to be asked for the prompts that they keep, while the
-/// survey after a start lasts.
-constexpr Duration SurveyPoll = 50ms;
+/// Interval of checks which engines are due for prompt discovery, until the discovery is finished.
+constexpr Duration DiscoveryPoll = 50ms;
 
-/// A router that has run for so much longer than this one was not restarted with it.
-constexpr Duration OlderPeer = 5s;
+/// A router that started this much earlier than this one was not restarted together with it.
+constexpr Duration OlderPeerMargin = 5s;
 
-/// Parts of prompts of one service that are told to a router that has started: some 240 KB, a fifth
-/// of a second of a link of 10 Mbit/s. Nine replicas have fewer; with 140, 85 of each are told.
-constexpr std::size_t MaxToldPrompts = 12'000;
+/// Prompt parts of one service that are sent to a router that has just started: about 240 KB, which
+/// takes 0.2 seconds on a link of 10 Mbit/s. Nine replicas stay below the limit; 140 replicas share
+/// it with 85 parts each.
+constexpr std::size_t MaxAnnouncedPrompts = 12'000;
 
-/// How long beats tell of a replica that has said that it leaves: a few rounds of a large fleet, or
-/// until the store has its entry.
-constexpr Duration LeavingTold = 10s;
-constexpr std::size_t MaxToldLeaving = 8;
+/// How long heartbeats announce a replica that has reported that it is leaving: a few rounds of a
+/// large fleet. It ends earlier once the store has the entry of its successor.
+constexpr Duration LeavingAnnounceTime = 10s;
+constexpr std::size_t MaxAnnouncedLeaving = 8;
 
-/// How long a replica is left out that has ended, unless its entry goes before. What listens at its
-/// address may be a proxy.
-constexpr Duration EndedPause = 3s;
+/// How long a crashed replica is excluded, unless its entry is removed earlier. An open connection
+/// doesn't prove that it runs again, because a proxy may be listening at its address.
+constexpr Duration CrashExclusionTime = 3s;
 
-/// At the metrics address.
+/// Path of the quarantine page at the metrics address.
 constexpr std::string_view QuarantinePath = "/quarantine";
 
-/// Routers that are counted while none can be verified, which bounds what a stranger can feign.
-constexpr std::size_t MaxUnverified = 1000;
+/// Most routers that are counted while heartbeats can't be verified. Limits the effect of forged
+/// heartbeats.
+constexpr std::size_t MaxUnverifiedRouters = 1000;
 
-/// A caller's connection is kept for longer than the configuration allows it to be idle, so that a
-/// request never crosses its close.
+/// Shortest idle timeout of caller connections. They are kept open for longer than the configured
+/// idle timeout, so that the router doesn't close one while a request is on its way.
 constexpr Duration MinIdleTimeout = 120s;
 
 } // namespace
@@ -86,16 +91,16 @@
     void keepRegistered();
     void applyConfig(const RouteConfigPtr &config);
     void applySettings(const EntrySettings &next);
-    ReplicaNews ownNews() const;
-    void tellNews();
+    ReplicaStatusUpdate ownStatusUpdate() const;
+    void announceIfReader();
     void notePrompts(const PromptsByReplica &prompts);
-    void takeBeat(const RouterBeat &beat);
-    void takeUnverifiedBeat(const RouterBeat &beat);
+    void receiveHeartbeat(const RouterHeartbeat &heartbeat);
+    void receiveUnverifiedHeartbeat(const RouterHeartbeat &heartbeat);
     int knownRouters();
     void registrationEnded(bool answered);
     void storeAnswered(TimePoint at);
-    void learnPrompts();
-    void takeList(const ReplicaRecord &engine, std::span<const PromptPart> prompts);
+    void discoverPrompts();
+    void handlePromptList(const ReplicaRecord &engine, std::span<const PromptPart> prompts);
     bool isReady() const;
     void answerMetrics(const HttpExchangePtr &exchange);
     void drain();
@@ -111,7 +116,7 @@
     RandomSource random = systemRandom();
     std::unique_ptr<FleetStore> store;
     std::unique_ptr<TableService> table;
-    ConfigInForce config{loop};
+    ActiveConfig config{loop};
     EvacuatedDomains evacuated;
     ReplicaRegistry replicas;
     std::shared_ptr<const RouteTable> routes;
@@ -123,14 +128,14 @@
     StoreWatch watch;
     FleetRegistration registration;
     StoreReadPlan registrationPlan;
-    std::set<std::string> unverified; ///< Names of routers that were heard before the key was had.
+    std::set<std::string> unverified; ///< Senders of heartbeats that couldn't be verified.
     EntryDirectory directory;
     EntryGateway gateway;
     SettingsWatch settingsWatch;
     std::vector<std::unique_ptr<HttpServer>> servers;
     HttpServer *callers = nullptr;
-    PromptSurvey survey;
-    Timer surveyTimer;
+    PromptDiscovery discovery;
+    Timer discoveryTimer;
     Timer registrationTimer;
     Timer drainTimer;
     TimePoint refuseFrom = TimePoint::max();
@@ -141,28 +146,31 @@
 EntryProcess::Private::Private(const EntrySettings &s, std::string settingsFile, EntryAdapter a)
     : settings(s), adapter(std::move(a)), store(adapter.makeStore(client, settings.storeAddress)),
       table(adapter.makeTable(client, settings.storeAddress)),
-      replicas({.clock = loop, .returnTime = settings.replicaReturnTime}),
+      replicas({.clock = loop, .reregistrationTime = settings.replicaReregistrationTime}),
       pools(loop, random, settings,
-            {.routers = [this] { return fleet.view().sharers(); },
+            {.routers = [this] { return fleet.view().sharingRouters(); },
              .isColdSender =
                      [this](std::string_view replica, std::size_t n) {
                          return fleet.view().isChosenFor(replica, n);
                      }}),
       filters({.routes = [this] { return routes; },
                .proofAge = [this] { return config.proofAge(); },
-               .proofLimit = settings.keyProofLimit,
+               .proofLimit = settings.maxKeyProofAge,
                .requiresProof = settings.requiresKeyProof}),
       quarantine({.clock = loop,
                   .random = random,
-                  .routers = [this] { return fleet.view().sharers(); },
-                  .hasNews = [this] { fleet.tellCrashes(); }}),
+                  .routers = [this] { return fleet.view().sharingRouters(); },
+                  .announceNow = [this] { fleet.announceCrashes(); }}),
       crashes({.loop = loop,
                .metrics = metrics,
-               .runEnded =
-                       [this](const CrashWatch::BrokenRun &it, TimePoint) {
-                           quarantine.replicaEnded(it.fingerprint, it.replica, it.software);
+               .attemptCrashed =
+                       [this](const CrashWatch::BrokenAttempt &it, TimePoint) {
+                           quarantine.replicaCrashed(it.fingerprint, it.replica, it.software);
                        },
-               .replicaEnded = [this](const std::string &it) { pools.noteEnded(it, EndedPause); }}),
+               .replicaCrashed =
+                       [this](const std::string &it) {
+                           pools.noteCrashed(it, CrashExclusionTime);
+                       }}),
       fleet({.loop = loop,
              .client = client,
              .metrics = metrics,
@@ -172,15 +180,16 @@
              .replicas = replicas,
              .isReady = [this] { return isReady(); },
              .storeFailing = [this] { return watch.isFailing(); },
-             .storeSilence = [this] { return watch.silence(); },
-             .ownNews = [this] { return ownNews(); },
-             .takeCrashNews = [this] { return quarantine.takeNews(); },
-             .takeFirstEnds = [this] { return quarantine.takeFirstEnds(); },
-             .onBeat = [this](const RouterBeat &it) { takeBeat(it); },
-             .onUnverifiedBeat = [this](const RouterBeat &it) { takeUnverifiedBeat(it); },
+             .storeUnansweredFor = [this] { return watch.unansweredFor(); },
+             .ownStatusUpdate = [this] { return ownStatusUpdate(); },
+             .takeCrashUpdates = [this] { return quarantine.takeUpdates(); },
+             .takeFirstCrashes = [this] { return quarantine.takeFirstCrashes(); },
+             .onHeartbeat = [this](const RouterHeartbeat &it) { receiveHeartbeat(it); },
+             .onUnverifiedHeartbeat =
+                     [this](const RouterHeartbeat &it) { receiveUnverifiedHeartbeat(it); },
              .onConfigText = [this](const std::string &text,
-                                    TimePoint began) { watch.takeConfigText(text, began); },
-             .prompts = [this] { return pools.prompts(MaxToldPrompts); },
+                                    TimePoint began) { watch.applyConfigText(text, began); },
+             .prompts = [this] { return pools.prompts(MaxAnnouncedPrompts); },
              .onPrompts = [this](const PromptsByReplica &it) { notePrompts(it); }}),
       watch({.loop = loop,
              .store = *store,
@@ -204,8 +213,8 @@
                     .onRouters =
                             [this](const std::vector<RegisteredRouter> &it) {
                                 fleet.view().setRegistered(it);
-                                survey.setRouters(it);
-                                learnPrompts();
+                                discovery.setRouters(it);
+                                discoverPrompts();
                             },
                     .onEnd = [this](bool answered) { registrationEnded(answered); }}),
       registrationPlan({.clock = loop, .random = random}),
@@ -224,28 +233,30 @@
                .quarantine = quarantine,
                .crashes = crashes,
                .random = random,
-               .sharers = [this] { return fleet.view().sharers(); },
-               .refusesNew = [this] { return loop.now() >= refuseFrom; },
+               .sharingRouters = [this] { return fleet.view().sharingRouters(); },
+               .isShuttingDown = [this] { return loop.now() >= refuseFrom; },
                .promptSent =
                        [this](const std::string &replica, std::span<const PromptPart> prompt) {
-                           if (settings.mechanisms.promptNews)
+                           if (settings.mechanisms.promptAnnouncements)
                                fleet.notePrompt(replica, prompt);
                        },
-               .replicaLeaves =
+               .replicaLeaving =
                        [this](const std::string &it) {
-                           replicas.noteLeaving(it, ReplicaRegistry::LeavingSource::Answer);
+                           replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Answer);
                        },
-               .othersLeave =
+               .replicaLeavingAt =
                        [this](const std::string &address, const std::string &id) {
-                           replicas.noteLeavingAt(address, id);
+                           replicas.markLeavingAt(address, id);
                        },
-               .replicaEjected = [this] { fleet.tellEjected(); },
+               .replicaEjected = [this] { fleet.announceEjection(); },
                .proofAge = [this] { return config.proofAge(); }}),
       settingsWatch({.loop = loop,
                      .file = std::move(settingsFile),
                      .onChange = [this](const EntrySettings &it) { applySettings(it); }}),
-      survey({.clock = loop, .self = settings.peerAddress, .maxTold = MaxToldPrompts}),
-      surveyTimer(loop, [this] { learnPrompts(); }),
+      discovery({.clock = loop,
+                 .self = settings.peerAddress,
+                 .maxAnnouncedParts = MaxAnnouncedPrompts}),
+      discoveryTimer(loop, [this] { discoverPrompts(); }),
       registrationTimer(loop, [this] { keepRegistered(); }),
       drainTimer(loop, [this] { checkDrained(); })
 {
@@ -256,12 +267,12 @@
     config.changed().connect([this](const RouteConfigPtr &it) { applyConfig(it); });
     evacuated.changed().connect([this] {
         pools.setEvacuated(evacuated.state().domains);
-        tellNews();
+        announceIfReader();
     });
     replicas.changed().connect([this] {
         pools.setReplicas(replicas.replicas());
-        tellNews();
-        learnPrompts();
+        announceIfReader();
+        discoverPrompts();
     });
 }
 
@@ -269,15 +280,15 @@
 {
     routes = std::make_shared<RouteTable>(it);
     pools.setServices(*it);
-    tellNews();
-    learnPrompts();
+    announceIfReader();
+    discoverPrompts();
     callers->setIdleTimeout(std::max(MinIdleTimeout, 2 * it->idleTimeout));
 }
 
 void EntryProcess::Private::applySettings(const EntrySettings &next)
 {
-    const EntrySettings::Adjusted adjusted = settings.adjust(next);
-    filters.setProofRules(settings.keyProofLimit, settings.requiresKeyProof);
+    const EntrySettings::UpdateResult adjusted = settings.updateFrom(next);
+    filters.setProofRules(settings.maxKeyProofAge, settings.requiresKeyProof);
     pools.applySettings();
     fleet.applySettings();
     Log::info("settings_reloaded",
@@ -285,18 +296,18 @@
                {"needs_restart", fmt::format("{}", fmt::join(adjusted.needsRestart, " "))}});
 }
 
-ReplicaNews EntryProcess::Private::ownNews() const
+ReplicaStatusUpdate EntryProcess::Private::ownStatusUpdate() const
 {
-    ReplicaNews out = pools.ownNews();
-    out.leaving = replicas.toldLeaving(LeavingTold, MaxToldLeaving);
+    ReplicaStatusUpdate out = pools.ownStatusUpdate();
+    out.leaving = replicas.recentlyLeaving(LeavingAnnounceTime, MaxAnnouncedLeaving);
     return out;
 }
 
-void EntryProcess::Private::tellNews()
+void EntryProcess::Private::announceIfReader()
 {
-    // Those that heard it from a reader need not repeat it.
+    // Routers that received the change from a reader need not announce it again.
     if (fleet.isReader())
-        fleet.tellAll();
+        fleet.announceToAll();
 }
 
 void EntryProcess::Private::notePrompts(const PromptsByReplica &prompts)
@@ -305,36 +316,37 @@
         pools.notePrompts(replica, parts);
 }
 
-void EntryProcess::Private::takeBeat(const RouterBeat &beat)
+void EntryProcess::Private::receiveHeartbeat(const RouterHeartbeat &heartbeat)
 {
-    pools.setNews(beat.name, beat.replicas, loop.now());
-    for (const std::string &it : beat.replicas.leaving)
-        replicas.noteLeaving(it, ReplicaRegistry::LeavingSource::Router);
-    quarantine.merge(beat.crashes);
-    for (const CrashNews &news : beat.crashes) {
-        for (const CrashNews::End &it : news.ends) {
-            if (it.age < EndedPause)
-                pools.noteEnded(it.replica, EndedPause - it.age);
+    pools.applyStatusUpdate(heartbeat.name, heartbeat.replicas, loop.now());
+    for (const std::string &it : heartbeat.replicas.leaving)
+        replicas.markLeaving(it, ReplicaRegistry::LeavingSource::Router);
+    quarantine.merge(heartbeat.crashes);
+    for (const CrashUpdate &update : heartbeat.crashes) {
+        for (const CrashUpdate::Crash &it : update.replicaCrashes) {
+            if (it.age < CrashExclusionTime)
+                pools.noteCrashed(it.replica, CrashExclusionTime - it.age);
         }
     }
-    notePrompts(beat.prompts);
-    for (const std::string &it : beat.listed)
-        survey.listed(it);
-    if (beat.incarnation + static_cast<std::uint64_t>(OlderPeer / 1ms) < fleet.incarnation())
-        survey.peerKnows();
+    notePrompts(heartbeat.prompts);
+    for (const std::string &it : heartbeat.discovered)
+        discovery.discovered(it);
+    if (heartbeat.incarnation + static_cast<std::uint64_t>(OlderPeerMargin / 1ms)
+        < fleet.incarnation())
+        discovery.peerStateReceived();
 }
 
-void EntryProcess::Private::takeUnverifiedBeat(const RouterBeat &beat)
+void EntryProcess::Private::receiveUnverifiedHeartbeat(const RouterHeartbeat &heartbeat)
 {
-    if (unverified.size() < MaxUnverified)
-        unverified.insert(beat.name);
-    if (beat.proofAge != Duration::max())
-        storeAnswered(loop.now() - beat.proofAge);
+    if (unverified.size() < MaxUnverifiedRouters)
+        unverified.insert(heartbeat.name);
+    if (heartbeat.proofAge != Duration::max())
+        storeAnswered(loop.now() - heartbeat.proofAge);
 }
 
 int EntryProcess::Private::knownRouters()
 {
-    return std::max(fleet.view().sharers(), static_cast<int>(unverified.size()) + 1);
+    return std::max(fleet.view().sharingRouters(), static_cast<int>(unverified.size()) + 1);
 }
 
 void EntryProcess::Private::storeAnswered(TimePoint at)
@@ -343,42 +355,43 @@
     registrationPlan.answeredElsewhere(at);
 }
 
-void EntryProcess::Private::learnPrompts()
+void EntryProcess::Private::discoverPrompts()
 {
-    if (!settings.mechanisms.promptSurvey)
+    if (!settings.mechanisms.promptDiscovery)
         return;
-    for (const ReplicaRecord &it : survey.due(pools.engines())) {
+    for (const ReplicaRecord &it : discovery.due(pools.engines())) {
         adapter.listPrompts(client, it.address,
                             [this, it](const Result<std::vector<PromptPart>> &r) {
                                 if (r)
-                                    return takeList(it, r.value());
+                                    return handlePromptList(it, r.value());
                                 Log::info("prompts_not_listed",
                                           {{"replica", it.id}, {"detail", r.error().detail}});
                             });
     }
-    if (survey.isOver())
-        surveyTimer.stop();
+    if (discovery.isFinished())
+        discoveryTimer.stop();
 }
 
-void EntryProcess::Private::takeList(const ReplicaRecord &engine,
-                                     std::span<const PromptPart> prompts)
+void EntryProcess::Private::handlePromptList(const ReplicaRecord &engine,
+                                             std::span<const PromptPart> prompts)
 {
     std::vector<std::uint64_t> parts;
     parts.reserve(prompts.size());
     for (const PromptPart &it : prompts)
         parts.push_back(it.id);
     const std::string incarnation = engine.incarnation();
-    survey.listed(incarnation);
+    discovery.discovered(incarnation);
     pools.notePrompts(incarnation, parts);
-    const std::vector<std::uint64_t> told = survey.toTell(prompts, pools.engines().size());
-    fleet.tellListed(incarnation, told, survey.toBeTold(incarnation));
+    const std::vector<std::uint64_t> announced =
+            discovery.partsToAnnounce(prompts, pools.engines().size());
+    fleet.announceDiscovered(incarnation, announced, discovery.receiversFor(incarnation));
     Log::info("prompts_listed",
-              {{"replica", engine.id}, {"parts", parts.size()}, {"told", told.size()}});
+              {{"replica", engine.id}, {"parts", parts.size()}, {"told", announced.size()}});
 }
 
 bool EntryProcess::Private::isReady() const
 {
-    return !draining && routes && filters.isProven() && replicas.age() != Duration::max();
+    return !draining && routes && filters.isProofFresh() && replicas.age() != Duration::max();
 }
 
 void EntryProcess::Private::keepRegistered()
@@ -387,8 +400,8 @@
         registrationPlan.began();
         registration.refresh();
     }
-    const Duration interval =
-            std::max<Duration>(RegistrationInterval, RegistrationPause * fleet.view().sharers());
+    const Duration interval = std::max<Duration>(
+            RegistrationInterval, RegistrationIntervalPerRouter * fleet.view().sharingRouters());
     registrationTimer.start(registration.isComplete() ? interval : RegistrationPoll);
 }
 
@@ -406,13 +419,13 @@
 {
     return std::make_unique<HttpServer>(
             loop,
-            HttpServer::Options{
-                    .address = address,
-                    .limits = {.maxHeaderBytes = settings.maxHeaderBytes,
-                               .maxBodyBytes = settings.maxBodyBytes,
-                               .maxConnections = settings.maxConnections,
-                               .idleTimeout = MinIdleTimeout},
-                    .onTooMany = [this] { metrics.refused(Reason::TooManyConnections); }},
+            HttpServer::Options{.address = address,
+                                .limits = {.maxHeaderBytes = settings.maxHeaderBytes,
+                                           .maxBodyBytes = settings.maxBodyBytes,
+                                           .maxConnections = settings.maxConnections,
+                                           .idleTimeout = MinIdleTimeout},
+                                .onTooManyConnections =
+                                        [this] { metrics.refused(Reason::TooManyConnections); }},
             std::move(handler));
 }
 
@@ -458,8 +471,8 @@
     fleet.leave();
     registration.leave();
     gateway.leave();
-    refuseFrom = loop.now() + scaled(settings.stopLimit, AcceptPart);
-    stopAt = loop.now() + settings.stopLimit - StopMargin;
+    refuseFrom = loop.now() + scaled(settings.stopTimeout, AcceptFraction);
+    stopAt = loop.now() + settings.stopTimeout - StopMargin;
     drainTimer.startRepeating(DrainPoll);
 }
 
@@ -504,7 +517,7 @@
     m_d->connectSignals();
     m_d->watch.start();
     m_d->settingsWatch.start();
-    m_d->surveyTimer.startRepeating(SurveyPoll);
+    m_d->discoveryTimer.startRepeating(DiscoveryPoll);
     m_d->keepRegistered();
     Log::info("started",
               {{"caller_address", m_d->settings.callerAddress},
--- a/src/Net/FleetTask.cpp
+++ b/src/Net/FleetTask.cpp
@@ -1,13 +1,13 @@
 #include "Net/FleetTask.h"
 
 #include "Base/Log.h"
-#include "Control/ConfigInForce.h"
-#include "Control/ConfigTexts.h"
+#include "Control/ActiveConfig.h"
+#include "Control/ConfigTextCache.h"
 #include "Control/EvacuatedDomains.h"
 #include "Control/PeerCatchUp.h"
 #include "Control/PeerGuard.h"
 #include "Control/PeerState.h"
-#include "Control/PromptNews.h"
+#include "Control/PromptUpdates.h"
 #include "Control/ReplicaRegistry.h"
 #include "Net/EventLoop.h"
 #include "Net/HttpClient.h"
@@ -28,54 +28,57 @@
 
 using namespace std::chrono_literals;
 
-/// How often a router that does not read the store asks one that does, as a part of the time in
-/// which changes have to be in force. Its proof is then at most three such parts old, with the two
-/// of the reader, and the reader's beat at each change comes sooner. An ask costs two datagrams.
-constexpr double AskPart = 0.2;
+/// Interval at which a router that doesn't read the store asks one that does, as a fraction of the
+/// time in which changes have to be active. Its freshness proof is then at most three such
+/// intervals old, two of which are the reader's; the reader's heartbeat after a change arrives
+/// sooner. One ask costs two datagrams.
+constexpr double AskIntervalFraction = 0.2;
 
-/// Routers that are told at once of an ejected replica, or of requests that end replicas. In a
-/// large fleet many routers eject a replica that fails, and a few of them tell each of the others;
-/// news of such requests is passed on by those that hear it.
+/// Number of routers to which an ejection, or a request that crashes replicas, is announced
+/// immediately. In a large fleet many routers eject a failing replica, so that each of the others
+/// receives an update from a few of them. Updates about requests are forwarded by their receivers.
 constexpr std::size_t UrgentFanout = 78;
 
-/// All that ran on a replica breaks at the same moment; one datagram tells of it.
-constexpr Duration CrashTellDelay = 20ms;
+/// All requests on a replica break at the same time; the delay collects them in one datagram.
+constexpr Duration CrashAnnounceDelay = 20ms;
 
-/// Routers that keep the evidence against one request: enough that one of them is there and hears
-/// all of it while others start or are cut off. In a small fleet all do.
-constexpr std::size_t EvidenceKeepers = 8;
+/// Routers that hold the evidence against one request: enough that one of them is running and
+/// receives all of it while others start or are disconnected. In a small fleet all routers hold it.
+constexpr std::size_t EvidenceHolders = 8;
 
-/// First ends in one datagram, some 90 bytes each.
-constexpr std::size_t MaxFirstEnds = 7;
+/// First crashes in one datagram, at about 90 bytes each.
+constexpr std::size_t MaxFirstCrashes = 7;
 
-/// Parts of prompts that one beat tells of: it has to fit one datagram of 1,200 bytes with the
-/// counts. More are only told at over 100 prompts a second and router, and are hints.
+/// Prompt parts in one heartbeat, which has to fit one datagram of 1,200 bytes together with the
+/// counts. The limit is reached only above 100 prompts per second and router. Parts that don't fit
+/// wait for later heartbeats; dropping some is acceptable because they are hints.
 constexpr std::size_t MaxPromptParts = 40;
 
-/// The same where it also tells of crashes, which take up to 550 bytes.
+/// Prompt parts in a heartbeat that also carries crashes, which take up to 550 bytes.
 constexpr std::size_t MaxPromptPartsBesideCrashes = 10;
 
 constexpr const char *StatePath = "/v1/state";
 constexpr const char *SignatureHeader = "X-Catkinloft-Signature";
 
-/// A peer on the same platform answers in milliseconds; another one is asked after this silence. A
-/// transfer that goes on is not given up for being long: over a link of 10 Mbit/s that also carries
-/// streams a large configuration takes a second, and what was sent of it would be lost.
-constexpr Duration PeerSilence = 600ms;
+/// Time without progress after which a peer counts as unresponsive; peers on the same platform
+/// answer in milliseconds. A transfer that makes progress continues: a large configuration takes a
+/// second over a link of 10 Mbit/s that also carries streams, and aborting it would waste the part
+/// that was sent.
+constexpr Duration PeerTimeout = 600ms;
 
-/// Longest transfer, as a multiple of the time in which changes have to be in force. By then the
-/// store has been asked.
+/// Timeout of a whole transfer, as a multiple of the time in which changes have to be active. By
+/// then the store has been read directly.
 constexpr int StateTimeoutFactor = 2;
 
 constexpr std::size_t MaxStateBody = 32 * 1024 * 1024;
 
-/// A question to a router that reads the store, which has not been answered yet.
+/// An unanswered ask to a router that reads the store.
 struct Ask
 {
     TimePoint at;
     std::string reader;
 
-    /// \returns what the answer has to repeat.
+    /// \returns the number that the answer has to echo.
     std::uint64_t number() const
     {
         return static_cast<std::uint64_t>(at.time_since_epoch().count());
@@ -88,35 +91,36 @@
 {
     explicit Private(Options o);
 
-    RouterBeat compose();
+    RouterHeartbeat compose();
     std::vector<std::string> readers() const;
     bool isReader(std::span<const std::string> all) const;
-    void send(const std::string &address, const RouterBeat &beat);
-    void sendTo(std::span<const std::string> addresses, const RouterBeat &beat);
-    void sendToNext(std::size_t n, const RouterBeat &beat);
-    void sendToAll(const RouterBeat &beat) { sendToNext(view.addressCount(), beat); }
+    void send(const std::string &address, const RouterHeartbeat &heartbeat);
+    void sendTo(std::span<const std::string> addresses, const RouterHeartbeat &heartbeat);
+    void sendToNext(std::size_t n, const RouterHeartbeat &heartbeat);
+    void sendToAll(const RouterHeartbeat &heartbeat) { sendToNext(view.addressCount(), heartbeat); }
     void noteUnanswered();
-    void beat();
-    void tellCrashes();
-    void tellFirstEnds();
+    void heartbeat();
+    void announceCrashes();
+    void announceFirstCrashes();
     void ask();
     void received(std::string_view datagram);
     void receivedUnverified(const std::string &text);
-    void takeEcho(const RouterBeat &beat);
-    void noticeNews(const RouterBeat &beat);
+    void applyEcho(const RouterHeartbeat &heartbeat);
+    void fetchIfNewer(const RouterHeartbeat &heartbeat);
     void fetchFrom(const FleetView::Peer &peer);
     void answerState(const HttpExchangePtr &exchange);
     PeerState stateSince(std::uint64_t revision, std::uint64_t replicasHash, bool withPrompts);
-    void takeAnswer(const std::string &name, const Result<HttpAnswer> &answer, TimePoint asked);
-    void takeState(const PeerState &state, TimePoint asked);
-    void takeConfig(const PeerState &state, TimePoint asked);
-    void takeReplicas(const PeerState::Packed &packed, TimePoint readBegan);
+    void handleStateAnswer(const std::string &name, const Result<HttpAnswer> &answer,
+                           TimePoint asked);
+    void applyState(const PeerState &state, TimePoint asked);
+    void applyConfig(const PeerState &state, TimePoint asked);
+    void applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt);
     const PeerState::Packed &replicasSince(std::uint64_t hash);
     std::string signedText(const std::string &text) const { return guard.sign(text) + "\n" + text; }
 
     Options options;
     PeerGuard guard;
-    BeatCodec codec;
+    HeartbeatCodec codec;
     FleetView view;
     PeerTransport transport;
     HttpServer server;
@@ -124,14 +128,15 @@
     Timer askTimer;
     Timer crashTimer;
     PeerCatchUp catchUp;
-    ConfigTexts configTexts;
-    std::map<std::uint64_t, PeerState::Packed> packedReplicas; ///< By the hash that the asker has.
-    std::uint64_t packedHash = 0; ///< Of the list that they lead to.
+    ConfigTextCache configTexts;
+    /// Packed updates to the list with \a packedHash, by the hash of the list that they start from.
+    std::map<std::uint64_t, PeerState::Packed> packedReplicas;
+    std::uint64_t packedHash = 0; ///< Hash of the newest packed replica list.
     std::vector<Ask> asks;
     std::size_t nextReader = 0;
     std::uint64_t incarnation;
     std::uint64_t sequence = 0;
-    PromptNews prompts{options.loop};
+    PromptUpdates prompts{options.loop};
     bool hasKey = false;
     bool leaving = false;
     bool fetching = false;
@@ -143,24 +148,24 @@
       view({.clock = options.loop,
             .self = options.settings.name,
             .selfAddress = options.settings.peerAddress,
-            .configLimit = options.settings.configApplyLimit}),
+            .configApplyTimeout = options.settings.configApplyTimeout}),
       transport(options.loop, [this](const std::string &, std::string_view it) { received(it); }),
       server(options.loop, {.address = options.settings.peerAddress, .limits = {}},
              [this](const HttpExchangePtr &it) { answerState(it); }),
-      timer(options.loop, [this] { beat(); }), askTimer(options.loop, [this] { ask(); }),
-      crashTimer(options.loop, [this] { tellCrashes(); }),
-      catchUp({.configLimit = options.settings.configApplyLimit}),
+      timer(options.loop, [this] { heartbeat(); }), askTimer(options.loop, [this] { ask(); }),
+      crashTimer(options.loop, [this] { announceCrashes(); }),
+      catchUp({.configApplyTimeout = options.settings.configApplyTimeout}),
       incarnation(static_cast<std::uint64_t>(options.loop.wallNow().time_since_epoch().count()))
 {
     options.config.changed().connect(
             [this](const RouteConfigPtr &it) { configTexts.add(it->revision, it->sourceText); });
     options.metrics.addCollector([this](Metrics &metrics) {
         metrics.set("catkinloft_live_routers", static_cast<double>(view.live().size() + 1));
-        metrics.set("catkinloft_sharing_routers", view.sharers());
+        metrics.set("catkinloft_sharing_routers", view.sharingRouters());
     });
 }
 
-RouterBeat FleetTask::Private::compose()
+RouterHeartbeat FleetTask::Private::compose()
 {
     const EvacuatedDomains &evacuated = options.evacuated;
     return {.name = options.settings.name,
@@ -175,12 +180,12 @@
             .revision = options.config.revision(),
             .proofAge = options.config.proofAge(),
             .storeFailing = options.storeFailing(),
-            .storeSilence = options.storeSilence(),
+            .storeUnansweredFor = options.storeUnansweredFor(),
             .replicasAge = options.replicas.age(),
             .replicasHash = options.replicas.hash(),
             .replicasVersion = options.replicas.storeVersion(),
-            .evacuated = evacuated.isWorthTelling() ? evacuated.state() : EvacuatedDomains::State(),
-            .replicas = options.ownNews()};
+            .evacuated = evacuated.shouldAnnounce() ? evacuated.state() : EvacuatedDomains::State(),
+            .replicas = options.ownStatusUpdate()};
 }
 
 std::vector<std::string> FleetTask::Private::readers() const
@@ -189,7 +194,7 @@
                          .processorShare = options.settings.processorShare,
                          .leaving = leaving,
                          .storeFailing = options.storeFailing(),
-                         .storeSilence = options.storeSilence()});
+                         .storeUnansweredFor = options.storeUnansweredFor()});
 }
 
 bool FleetTask::Private::isReader(std::span<const std::string> all) const
@@ -197,61 +202,62 @@
     return std::find(all.begin(), all.end(), options.settings.name) != all.end();
 }
 
-void FleetTask::Private::send(const std::string &address, const RouterBeat &beat)
+void FleetTask::Private::send(const std::string &address, const RouterHeartbeat &heartbeat)
 {
-    sendTo({&address, 1}, beat);
+    sendTo({&address, 1}, heartbeat);
 }
 
-void FleetTask::Private::sendTo(std::span<const std::string> addresses, const RouterBeat &beat)
+void FleetTask::Private::sendTo(std::span<const std::string> addresses,
+                                const RouterHeartbeat &heartbeat)
 {
     if (!hasKey)
         return;
-    const std::string datagram = signedText(BeatCodec::pack(beat));
+    const std::string datagram = signedText(HeartbeatCodec::pack(heartbeat));
     for (const std::string &it : addresses)
         transport.send(it, datagram);
 }
 
-void FleetTask::Private::sendToNext(std::size_t n, const RouterBeat &beat)
+void FleetTask::Private::sendToNext(std::size_t n, const RouterHeartbeat &heartbeat)
 {
-    sendTo(view.nextTargets(n), beat);
+    sendTo(view.nextTargets(n), heartbeat);
 }
 
-void FleetTask::Private::beat()
+void FleetTask::Private::heartbeat()
 {
     if (!hasKey)
         return;
-    RouterBeat out = compose();
-    out.crashes = options.takeCrashNews();
-    out.prompts = prompts.take(view.beatsInRound(),
+    RouterHeartbeat out = compose();
+    out.crashes = options.takeCrashUpdates();
+    out.prompts = prompts.take(view.heartbeatsPerRound(),
                                out.crashes.empty() ? MaxPromptParts : MaxPromptPartsBesideCrashes);
-    sendToNext(FleetView::BeatFanout, out);
-    tellFirstEnds();
+    sendToNext(FleetView::HeartbeatFanout, out);
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellCrashes()
+void FleetTask::Private::announceCrashes()
 {
     if (!hasKey)
         return;
-    if (std::vector<CrashNews> news = options.takeCrashNews(); !news.empty()) {
-        RouterBeat out = compose();
-        out.crashes = std::move(news);
+    if (std::vector<CrashUpdate> updates = options.takeCrashUpdates(); !updates.empty()) {
+        RouterHeartbeat out = compose();
+        out.crashes = std::move(updates);
         sendToNext(UrgentFanout, out);
     }
-    tellFirstEnds();
+    announceFirstCrashes();
 }
 
-void FleetTask::Private::tellFirstEnds()
+void FleetTask::Private::announceFirstCrashes()
 {
-    std::map<std::string, std::vector<CrashNews>> byKeeper;
-    for (const CrashNews &it : options.takeFirstEnds()) {
-        for (const std::string &address : view.keepersOf(it.fingerprint, EvidenceKeepers))
-            byKeeper[address].push_back(it);
+    std::map<std::string, std::vector<CrashUpdate>> byHolder;
+    for (const CrashUpdate &it : options.takeFirstCrashes()) {
+        for (const std::string &address : view.holdersOf(it.fingerprint, EvidenceHolders))
+            byHolder[address].push_back(it);
     }
-    for (const auto &[address, news] : byKeeper) {
-        for (std::size_t i = 0; i < news.size(); i += MaxFirstEnds) {
-            RouterBeat out = compose();
-            const std::size_t n = std::min(MaxFirstEnds, news.size() - i);
-            const auto part = std::span(news).subspan(i, n);
+    for (const auto &[address, updates] : byHolder) {
+        for (std::size_t i = 0; i < updates.size(); i += MaxFirstCrashes) {
+            RouterHeartbeat out = compose();
+            const std::size_t n = std::min(MaxFirstCrashes, updates.size() - i);
+            const auto part = std::span(updates).subspan(i, n);
             out.crashes.assign(part.begin(), part.end());
             send(address, out);
         }
@@ -262,7 +268,7 @@
 {
     const TimePoint now = options.loop.now();
     std::erase_if(asks, [&](const Ask &it) {
-        const bool overdue = now - it.at > PeerSilence;
+        const bool overdue = now - it.at > PeerTimeout;
         if (overdue)
             view.noteUnanswered(it.reader, it.at);
         return overdue;
@@ -277,7 +283,7 @@
         return;
     const std::string &reader = all[nextReader++ % all.size()];
     asks.push_back({.at = options.loop.now(), .reader = reader});
-    RouterBeat out = compose();
+    RouterHeartbeat out = compose();
     out.ask = asks.back().number();
     send(view.peerAddressOf(reader), out);
 }
@@ -295,59 +301,60 @@
                               Metrics::label("fault", peerFaultName(PeerFault::Forged)));
         return;
     }
-    const Result<RouterBeat> read = codec.unpack(text);
+    const Result<RouterHeartbeat> read = codec.unpack(text);
     if (!read) {
         options.metrics.count("catkinloft_peer_refused_total",
                               Metrics::label("fault", peerFaultName(PeerFault::Malformed)));
         return;
     }
-    const RouterBeat &beat = read.value();
-    if (!view.receive(beat))
+    const RouterHeartbeat &heartbeat = read.value();
+    if (!view.receive(heartbeat))
         return;
-    if (beat.ask != 0) {
-        RouterBeat answer = compose();
-        answer.echo = beat.ask;
-        send(beat.peerAddress, answer);
+    if (heartbeat.ask != 0) {
+        RouterHeartbeat answer = compose();
+        answer.echo = heartbeat.ask;
+        send(heartbeat.peerAddress, answer);
     }
-    // Before the proof that stands for them too.
-    options.evacuated.accept(beat.evacuated);
-    if (beat.echo != 0)
-        takeEcho(beat);
-    noticeNews(beat);
-    options.onBeat(beat);
+    // Before the freshness proof is applied, because the proof covers the evacuations too.
+    options.evacuated.accept(heartbeat.evacuated);
+    if (heartbeat.echo != 0)
+        applyEcho(heartbeat);
+    fetchIfNewer(heartbeat);
+    options.onHeartbeat(heartbeat);
 }
 
 void FleetTask::Private::receivedUnverified(const std::string &text)
 {
-    if (const Result<RouterBeat> read = codec.unpack(text))
-        options.onUnverifiedBeat(read.value());
+    if (const Result<RouterHeartbeat> read = codec.unpack(text))
+        options.onUnverifiedHeartbeat(read.value());
 }
 
-void FleetTask::Private::takeEcho(const RouterBeat &beat)
+void FleetTask::Private::applyEcho(const RouterHeartbeat &heartbeat)
 {
-    // Only an answer proves anything: a datagram may have waited here for as long as this VM was
-    // suspended, but an answer was sent after its ask.
+    // Only an answer proves freshness, because it was sent after its ask. Any other datagram may
+    // have been queued on this VM for as long as the VM was suspended.
     const auto found = std::find_if(asks.begin(), asks.end(),
-                                    [&](const Ask &it) { return it.number() == beat.echo; });
+                                    [&](const Ask &it) { return it.number() == heartbeat.echo; });
     if (found == asks.end())
         return;
     const TimePoint asked = found->at;
     asks.erase(found);
-    if (beat.proofAge != Duration::max())
-        options.config.confirm(beat.revision, asked - beat.proofAge);
-    if (beat.replicasAge != Duration::max())
-        options.replicas.confirm(beat.replicasHash, beat.replicasVersion, asked - beat.replicasAge);
+    if (heartbeat.proofAge != Duration::max())
+        options.config.confirm(heartbeat.revision, asked - heartbeat.proofAge);
+    if (heartbeat.replicasAge != Duration::max())
+        options.replicas.confirm(heartbeat.replicasHash, heartbeat.replicasVersion,
+                                 asked - heartbeat.replicasAge);
 }
 
-void FleetTask::Private::noticeNews(const RouterBeat &beat)
+void FleetTask::Private::fetchIfNewer(const RouterHeartbeat &heartbeat)
 {
     const PeerCatchUp::Known own{.revision = options.config.revision(),
                                  .proofAge = options.config.proofAge(),
                                  .replicasHash = options.replicas.hash(),
                                  .replicasVersion = options.replicas.storeVersion()};
-    if (!catchUp.isWorthAsking(beat, own))
+    if (!catchUp.shouldFetchFrom(heartbeat, own))
         return;
-    if (const FleetView::Peer *peer = view.find(beat.name))
+    if (const FleetView::Peer *peer = view.find(heartbeat.name))
         fetchFrom(*peer);
 }
 
@@ -372,7 +379,7 @@
 PeerState FleetTask::Private::stateSince(std::uint64_t revision, std::uint64_t replicasHash,
                                          bool withPrompts)
 {
-    const ConfigInForce &config = options.config;
+    const ActiveConfig &config = options.config;
     const ReplicaRegistry &replicas = options.replicas;
     PeerState out{.revision = config.revision(),
                   .proofAge = config.proofAge(),
@@ -400,45 +407,47 @@
     return packedReplicas.emplace(hash, PeerState::Packed::of(update.encode())).first->second;
 }
 
-void FleetTask::Private::takeConfig(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyConfig(const PeerState &state, TimePoint asked)
 {
     const RouteConfigPtr &own = options.config.config();
-    // The answer may be to an older question: a change of what was in force then is of no use now.
+    // The answer may belong to an older ask: a delta to another base than the active configuration
+    // can't be applied.
     if (state.configBase != 0 && state.configBase != options.config.revision())
         return;
     const Result<std::string> text =
-            ConfigTexts::textIn(state, own ? std::string_view(own->sourceText) : "");
+            ConfigTextCache::unpackText(state, own ? std::string_view(own->sourceText) : "");
     if (text)
         options.onConfigText(text.value(), asked - state.proofAge);
     else
         Log::warning("peer_state_malformed", {{"detail", text.error().detail}});
 }
 
-void FleetTask::Private::takeReplicas(const PeerState::Packed &packed, TimePoint readBegan)
+void FleetTask::Private::applyReplicas(const PeerState::Packed &packed, TimePoint readStartedAt)
 {
     const Result<std::string> text = packed.text();
     const Result<ReplicaUpdate> update =
             text ? ReplicaUpdate::decode(text.value()) : Result<ReplicaUpdate>(text.error());
     if (!update)
         return Log::warning("peer_replicas_malformed", {{"detail", update.error().detail}});
-    if (!options.replicas.applyUpdate(update.value(), readBegan))
-        Log::info("peer_replicas_unusable", {{"detail", "they change a list that is not known"}});
+    if (!options.replicas.applyUpdate(update.value(), readStartedAt))
+        Log::info("peer_replicas_unusable",
+                  {{"detail", "the update is based on an unknown replica list"}});
 }
 
-void FleetTask::Private::takeState(const PeerState &state, TimePoint asked)
+void FleetTask::Private::applyState(const PeerState &state, TimePoint asked)
 {
     options.evacuated.accept(state.evacuated);
-    // An age of Duration::max() comes with nothing that it would date.
+    // With an age of Duration::max() the peer has no data that the age would apply to.
     if (state.config)
-        takeConfig(state, asked);
+        applyConfig(state, asked);
     else if (state.revision != 0)
         options.config.confirm(state.revision, asked - state.proofAge);
     if (state.replicas)
-        takeReplicas(*state.replicas, asked - state.replicasAge);
+        applyReplicas(*state.replicas, asked - state.replicasAge);
     else if (state.replicasAge != Duration::max())
         options.replicas.confirm(state.replicasHash, state.replicasVersion,
                                  asked - state.replicasAge);
-    catchUp.promptsTold(!state.prompts.empty());
+    catchUp.promptsReceived(!state.prompts.empty());
     options.onPrompts(state.prompts);
 }
 
@@ -452,24 +461,24 @@
         return bound;
     if (Result<void> listening = m_d->server.listen(); !listening)
         return listening;
-    m_d->timer.startRepeating(FleetView::BeatInterval);
+    m_d->timer.startRepeating(FleetView::HeartbeatInterval);
     applySettings();
     return outcome::success();
 }
 
 void FleetTask::applySettings()
 {
-    const Duration limit = m_d->options.settings.configApplyLimit;
-    m_d->view.setConfigLimit(limit);
-    m_d->catchUp.setConfigLimit(limit);
-    m_d->askTimer.startRepeating(scaled(limit, AskPart));
+    const Duration limit = m_d->options.settings.configApplyTimeout;
+    m_d->view.setConfigApplyTimeout(limit);
+    m_d->catchUp.setConfigApplyTimeout(limit);
+    m_d->askTimer.startRepeating(scaled(limit, AskIntervalFraction));
 }
 
 void FleetTask::setKey(const SharedKey &key)
 {
     m_d->guard.setKeys({key});
     m_d->hasKey = true;
-    m_d->beat();
+    m_d->heartbeat();
 }
 
 void FleetTask::notePrompt(const std::string &replica, std::span<const PromptPart> prompt)
@@ -480,7 +489,7 @@
 void FleetTask::leave()
 {
     m_d->leaving = true;
-    tellAll();
+    announceToAll();
 }
 
 void FleetTask::fetchFromPeer()
@@ -489,32 +498,32 @@
         m_d->fetchFrom(*peer);
 }
 
-void FleetTask::tellAll()
+void FleetTask::announceToAll()
 {
     m_d->sendToAll(m_d->compose());
 }
 
-void FleetTask::tellEjected()
+void FleetTask::announceEjection()
 {
     m_d->sendToNext(UrgentFanout, m_d->compose());
 }
 
-void FleetTask::tellCrashes()
+void FleetTask::announceCrashes()
 {
     if (!m_d->crashTimer.isPending())
-        m_d->crashTimer.start(CrashTellDelay);
+        m_d->crashTimer.start(CrashAnnounceDelay);
 }
 
-void FleetTask::tellListed(const std::string &replica, std::span<const std::uint64_t> parts,
-                           std::span<const std::string> addresses)
+void FleetTask::announceDiscovered(const std::string &replica, std::span<const std::uint64_t> parts,
+                                   std::span<const std::string> addresses)
 {
     do {
         const std::size_t n = std::min(parts.size(), MaxPromptParts);
-        RouterBeat out = m_d->compose();
+        RouterHeartbeat out = m_d->compose();
         out.prompts[replica].assign(parts.begin(), parts.begin() + static_cast<std::ptrdiff_t>(n));
         parts = parts.subspan(n);
         if (parts.empty())
-            out.listed.push_back(replica);
+            out.discovered.push_back(replica);
         m_d->sendTo(addresses, out);
     } while (!parts.empty());
 }
@@ -526,7 +535,8 @@
 
 bool FleetTask::isReader() const
 {
-    // One that does not know the others yet would take itself for the only one.
+    // Before the list of registered routers is known, this router would consider itself the only
+    // one.
     return m_d->view.knowsRegistered() && m_d->isReader(m_d->readers());
 }
 
@@ -538,22 +548,23 @@
     const TimePoint asked = options.loop.now();
     std::string target = fmt::format("{}?revision={}&replicas={}&prompts={}", StatePath,
                                      options.config.revision(), options.replicas.hash(),
-                                     catchUp.wantsPrompts() ? 1 : 0);
+                                     catchUp.needsPrompts() ? 1 : 0);
     std::string signature = guard.sign(target);
-    options.client.fetch({.address = peer.beat.peerAddress,
-                          .target = std::move(target),
-                          .headers = {{SignatureHeader, std::move(signature)}},
-                          .timeout = StateTimeoutFactor * options.settings.configApplyLimit,
-                          .progressTimeout = PeerSilence,
-                          .maxBodyBytes = MaxStateBody},
-                         [this, asked, name = peer.beat.name](const Result<HttpAnswer> &answer) {
-                             fetching = false;
-                             takeAnswer(name, answer, asked);
-                         });
-}
-
-void FleetTask::Private::takeAnswer(const std::string &name, const Result<HttpAnswer> &answer,
-                                    TimePoint asked)
+    options.client.fetch(
+            {.address = peer.heartbeat.peerAddress,
+             .target = std::move(target),
+             .headers = {{SignatureHeader, std::move(signature)}},
+             .timeout = StateTimeoutFactor * options.settings.configApplyTimeout,
+             .progressTimeout = PeerTimeout,
+             .maxBodyBytes = MaxStateBody},
+            [this, asked, name = peer.heartbeat.name](const Result<HttpAnswer> &answer) {
+                fetching = false;
+                handleStateAnswer(name, answer, asked);
+            });
+}
+
+void FleetTask::Private::handleStateAnswer(const std::string &name,
+                                           const Result<HttpAnswer> &answer, TimePoint asked)
 {
     if (!answer || answer.value().head.status != 200) {
         Log::info("peer_state_missed",
@@ -568,7 +579,7 @@
     }
     const Result<PeerState> state = PeerState::decode(body.substr(end + 1));
     if (state)
-        takeState(state.value(), asked);
+        applyState(state.value(), asked);
     else
         Log::warning("peer_state_malformed", {{"router", name}, {"detail", state.error().detail}});
 }
--- a/src/Net/HttpClient.cpp
+++ b/src/Net/HttpClient.cpp
@@ -15,15 +15,17 @@
 
 namespace {
 
-/// Idle connections kept for one upstream; more than this only hold memory at both ends.
+/// Idle connections kept for one upstream. More of them would only occupy memory at both ends.
 constexpr std::size_t MaxIdlePerAddress = 64;
 
-/// Idle connections older than this are not trusted: upstreams and middleboxes drop them silently.
+/// Connections that were idle for longer are not reused: upstreams and middleboxes drop them
+/// without notice.
 constexpr Duration MaxIdleAge = std::chrono::seconds(20);
 
-/// Part of the time granted by Keep-Alive after which a connection is not used any more. A request
-/// that crosses the upstream's close may not be sent again if it is not idempotent.
-constexpr int KeepAlivePart = 2;
+/// A connection is reused only until the time in the Keep-Alive header divided by this number. A
+/// request that is sent while the upstream closes the connection cannot be retried unless it is
+/// idempotent.
+constexpr int KeepAliveDivisor = 2;
 
 struct IdleConnection
 {
@@ -35,7 +37,7 @@
 struct TakenConnection
 {
     std::unique_ptr<HttpConnection> connection;
-    Duration rested = Duration::zero(); ///< Zero: it is new.
+    Duration idleTime = Duration::zero(); ///< Zero for a new connection.
 };
 
 } // namespace
@@ -58,15 +60,15 @@
     std::map<std::string, std::deque<IdleConnection>> idle;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    /// Secure and plain connections to one address are never mixed up.
+    /// Secure and plain connections to one address are kept in separate pools.
     static std::string poolKey(const HttpCall &call)
     {
         return (call.secure ? "tls " : "") + call.address;
     }
 
-    static Duration longestIdle(const HttpCall &call, const IdleConnection &it)
+    static Duration maxIdleTime(const HttpCall &call, const IdleConnection &it)
     {
-        const Duration granted = it.connection->keepAlive() / KeepAlivePart;
+        const Duration granted = it.connection->keepAlive() / KeepAliveDivisor;
         return std::min({MaxIdleAge, call.maxIdleAge, granted});
     }
 
@@ -76,9 +78,9 @@
         while (!call.freshConnection && !list.empty()) {
             IdleConnection it = std::move(list.back());
             list.pop_back();
-            const Duration rested = loop.now() - it.since;
-            if (it.connection->isReusable() && rested < longestIdle(call, it))
-                return {std::move(it.connection), rested};
+            const Duration idleTime = loop.now() - it.since;
+            if (it.connection->isReusable() && idleTime < maxIdleTime(call, it))
+                return {std::move(it.connection), idleTime};
             retire(std::move(it.connection));
         }
         return {call.secure ? HttpConnection::openSecure(loop, call.address, tls)
@@ -99,7 +101,7 @@
         }
     }
 
-    /// A connection may not be freed from within its own callbacks.
+    /// A connection must not be destroyed from within its own callbacks.
     void retire(std::unique_ptr<HttpConnection> connection)
     {
         loop.post([held = std::shared_ptr<HttpConnection>(std::move(connection))] {});
@@ -108,7 +110,7 @@
 
 namespace {
 
-/// One call on one connection; gives the connection back when it ends.
+/// One call on one connection; returns the connection to the pool when the call ends.
 class Call final : public HttpCallHandle
 {
 public:
@@ -116,10 +118,10 @@
 
     Call(EventLoop &loop, TakenConnection taken, HttpCall call, HttpCallEvents events,
          GiveBack giveBack)
-        : m_connection(std::move(taken.connection)), m_rested(taken.rested),
+        : m_connection(std::move(taken.connection)), m_idleTime(taken.idleTime),
           m_events(std::move(events)), m_giveBack(std::move(giveBack)),
           m_progressTimeout(call.progressTimeout),
-          m_silenceLimit(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
+          m_silenceTimeout(std::max(call.progressTimeout, call.firstByteTimeout)), m_loop(loop),
           m_deadline(loop, [this] { timedOut(); }), m_progress(loop, [this] { checkProgress(); }),
           m_connect(loop, [this] { checkConnected(); })
     {
@@ -128,7 +130,7 @@
             m_connect.start(call.connectTimeout);
         noteProgress();
         if (m_progressTimeout > Duration::zero())
-            m_progress.start(m_silenceLimit);
+            m_progress.start(m_silenceTimeout);
         m_connection->start(call,
                             {.onHead =
                                      [this](const HttpHead &head) {
@@ -149,12 +151,12 @@
     ~Call() override
     {
         if (m_connection) {
-            m_connection->mute();
+            m_connection->detach();
             m_giveBack(std::move(m_connection));
         }
     }
 
-    Duration rested() const override { return m_rested; }
+    Duration idleTime() const override { return m_idleTime; }
 
     void pause() override
     {
@@ -172,45 +174,45 @@
     }
 
 private:
-    /// Only takes the time: moving a timer with every token of a stream would cost more than
-    /// relaying the token.
+    /// Only stores the time: restarting a timer for every token of a stream would cost more than
+    /// forwarding the token.
     void noteProgress() { m_lastProgress = m_loop.now(); }
 
     void noteFirstByte()
     {
-        if (m_silenceLimit == m_progressTimeout)
+        if (m_silenceTimeout == m_progressTimeout)
             return;
-        m_silenceLimit = m_progressTimeout;
-        m_progress.start(m_silenceLimit);
+        m_silenceTimeout = m_progressTimeout;
+        m_progress.start(m_silenceTimeout);
     }
 
     void checkProgress()
     {
         const Duration silence = m_paused ? Duration::zero() : m_loop.now() - m_lastProgress;
-        if (silence >= m_silenceLimit)
+        if (silence >= m_silenceTimeout)
             timedOut();
         else
-            m_progress.start(m_silenceLimit - silence);
+            m_progress.start(m_silenceTimeout - silence);
     }
 
     void checkConnected()
     {
         if (m_connection->verdict() != Verdict::NotRun)
             return;
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamUnreachable,
                      .verdict = Verdict::NotRun,
-                     .detail = "no connection in time",
+                     .detail = "no connection within the connect timeout",
                      .retryAfter = {}});
     }
 
     void timedOut()
     {
         const Verdict verdict = m_connection->verdict();
-        m_connection->mute();
+        m_connection->detach();
         finish(Error{.reason = Reason::UpstreamTimeout,
                      .verdict = verdict,
-                     .detail = "no answer in time",
+                     .detail = "the answer timed out",
                      .retryAfter = {}});
     }
 
@@ -226,11 +228,11 @@
     }
 
     std::unique_ptr<HttpConnection> m_connection;
-    Duration m_rested;
+    Duration m_idleTime;
     HttpCallEvents m_events;
     GiveBack m_giveBack;
     Duration m_progressTimeout;
-    Duration m_silenceLimit; ///< Longer until the first byte of the body, where that was asked for.
+    Duration m_silenceTimeout; ///< Includes firstByteTimeout until the first byte of the body.
     bool m_paused = false;
     TimePoint m_lastProgress;
     EventLoop &m_loop;
@@ -276,8 +278,8 @@
                   .onData = [state](std::string_view data) { state->answer.body += data; },
                   .onEnd =
                           [this, state, done = std::move(done)](const Result<void> &result) {
-                              // Released later: the handle is still on the stack, and its hooks
-                              // hold this state.
+                              // Destroyed later: the handle is still on the stack, and its
+                              // callbacks own this state.
                               m_d->loop.post([held = std::shared_ptr<HttpCallHandle>(
                                                       std::move(state->handle))] {});
                               if (result)
--- a/src/Net/EngineHttp.cpp
+++ b/src/Net/HttpEngineClient.cpp
@@ -1,4 +1,4 @@
-#include "Net/EngineHttp.h"
+#include "Net/HttpEngineClient.h"
 
 #include "Base/Json.h"
 #include "Net/EventLoop.h"
@@ -17,20 +17,20 @@
 
 constexpr Duration ReadTimeout = 2s;
 
-/// An order to load weights is answered when they are there.
+/// An order to load weights is answered only after they are loaded.
 constexpr Duration OrderTimeout = 120s;
 constexpr Duration KvTimeout = 30s;
 constexpr std::size_t MaxKvBytes = 64 * 1024 * 1024;
 
-/// More than the engine's stand-in or any batch would hold; longer feeds come in parts.
+/// Larger than any batch of an engine or its stand-in; longer feeds are read in several calls.
 constexpr std::size_t MaxReadBytes = 256 * 1024;
 
-/// What one call sends around its target and body: its line and Host header, and the TCP and IP
-/// headers of the call and of the acknowledgement of its answer.
+/// Bytes that one call sends in addition to its target and body: the request line with the Host
+/// header, and the TCP and IP headers of the call and of the acknowledgement of its answer.
 constexpr std::size_t RequestLine = 42;
 constexpr std::size_t PacketHeaders = 2 * 52;
 
-/// Where the weight store refuses without saying for how long.
+/// Used when the weight store refuses without a valid Retry-After header.
 constexpr Duration DefaultRetryAfter = 5s;
 
 HttpCall makeCall(std::string address, std::string target, Duration timeout)
@@ -58,9 +58,10 @@
             .detail = fmt::format("the engine answered {}", status)};
 }
 
-/// The object of a 200 answer, as \a convert reads it.
+/// \returns a receiver that passes the JSON object of a 200 answer, converted by \a convert, to
+/// \a done, or an error.
 template<typename T, typename Convert>
-std::function<void(Result<HttpAnswer>)> objectReceiver(EnginePort::Callback<T> done,
+std::function<void(Result<HttpAnswer>)> objectReceiver(EngineClient::Callback<T> done,
                                                        Convert convert)
 {
     return [done = std::move(done), convert](const Result<HttpAnswer> &answer) {
@@ -82,7 +83,7 @@
         } catch (const Json::Exception &) {
             done(Error{.reason = Reason::UpstreamBroken,
                        .verdict = Verdict::MayHaveRun,
-                       .detail = "the engine's answer has another form"});
+                       .detail = "the engine's answer has an unexpected JSON structure"});
         }
     };
 }
@@ -161,38 +162,39 @@
 
 } // namespace
 
-EngineHttp::EngineHttp(Options options) : m_options(std::move(options)) { }
+HttpEngineClient::HttpEngineClient(Options options) : m_options(std::move(options)) { }
 
-void EngineHttp::fetch(HttpCall call, Receiver done)
+void HttpEngineClient::fetch(HttpCall call, Receiver done)
 {
     call.secure = m_options.secure;
     m_options.sent(PacketHeaders + RequestLine + call.target.size() + call.body.size());
     m_options.client.fetch(std::move(call), std::move(done));
 }
 
-void EngineHttp::readLoad(std::string address, Callback<EngineLoad> done)
+void HttpEngineClient::readLoad(std::string address, Callback<EngineLoad> done)
 {
     HttpCall call = makeCall(std::move(address), "/v1/load", ReadTimeout);
     fetch(std::move(call), objectReceiver<EngineLoad>(std::move(done), &loadOf));
 }
 
-void EngineHttp::readCacheEvents(std::string address, std::uint64_t after, Callback<CacheFeed> done)
+void HttpEngineClient::readCacheEvents(std::string address, std::uint64_t after,
+                                       Callback<CacheFeed> done)
 {
     HttpCall call = makeCall(std::move(address), fmt::format("/v1/cache-events?after={}", after),
                              ReadTimeout);
     fetch(std::move(call), objectReceiver<CacheFeed>(std::move(done), &feedOf));
 }
 
-void EngineHttp::readState(std::string address, Callback<EngineState> done)
+void HttpEngineClient::readState(std::string address, Callback<EngineState> done)
 {
     HttpCall call = makeCall(std::move(address), "/v1/state", ReadTimeout);
     fetch(std::move(call), objectReceiver<EngineState>(std::move(done), &stateOf));
 }
 
-void EngineHttp::give(std::string address, EngineOrder order, Callback<OrderAnswer> done)
+void HttpEngineClient::sendOrder(std::string address, EngineOrder order, Callback<OrderAnswer> done)
 {
     HttpCall call = makePost(std::move(address), "/v1/orders", OrderTimeout, toJson(order));
-    // A connection that has gone silent would leave the order in doubt for the whole timeout.
+    // On a dead connection the outcome of the order would be unknown for the whole timeout.
     call.freshConnection = true;
     fetch(std::move(call), [done = std::move(done)](const Result<HttpAnswer> &answer) {
         if (!answer) {
@@ -210,7 +212,7 @@
     });
 }
 
-void EngineHttp::exportKv(std::string address, std::string chat, Callback<std::string> done)
+void HttpEngineClient::exportKv(std::string address, std::string chat, Callback<std::string> done)
 {
     Json::Value body;
     body["chat"] = chat;
@@ -223,8 +225,8 @@
                            }));
 }
 
-void EngineHttp::importKv(std::string address, std::string chat, std::string blob,
-                          Callback<void> done)
+void HttpEngineClient::importKv(std::string address, std::string chat, std::string blob,
+                                Callback<void> done)
 {
     Json::Value body;
     body["chat"] = chat;
@@ -242,26 +244,26 @@
                            });
 }
 
-void EngineHttp::askWeights(std::string model, std::string version, Callback<void> done)
+void HttpEngineClient::requestWeights(std::string model, std::string version, Callback<void> done)
 {
     if (m_options.weightStore.empty()) {
         done(outcome::success());
         return;
     }
-    struct Asking
+    struct WeightRequest
     {
         HttpCallPtr call;
         Callback<void> done;
     };
-    auto state = std::make_shared<Asking>();
+    auto state = std::make_shared<WeightRequest>();
     state->done = std::move(done);
-    // Only whether the store would give them is asked; the call is dropped before the weights come,
-    // outside of its own hooks.
+    // Only the store's willingness to send the weights matters: the call is dropped after the head
+    // of the answer. It is destroyed outside of its own callbacks.
     const auto finish = [&loop = m_options.loop, state](const Result<void> &result) {
         loop.post([state, result] {
             state->call.reset();
-            if (const auto tell = std::exchange(state->done, nullptr))
-                tell(result);
+            if (const auto notify = std::exchange(state->done, nullptr))
+                notify(result);
         });
     };
     state->call = m_options.client.send(
--- a/src/Net/PeerTask.cpp
+++ b/src/Net/PeerTask.cpp
@@ -16,19 +16,19 @@
 
 constexpr const char *PeerPath = "/v1/peer";
 
-/// A peer that does not answer in this time is asked again, or another one.
+/// Timeout of a peer's answer; afterwards this peer or another one is asked again.
 constexpr Duration BodyTimeout = std::chrono::seconds(5);
 
-/// Longest body: an inventory of 10,000 engines with its escapes, several times over.
+/// Largest accepted body: several times the size of an escaped inventory of 10,000 engines.
 constexpr std::size_t MaxBody = 32 * 1024 * 1024;
 
-/// Shortest sleep, so that a deadline in the past can't spin.
+/// Shortest timer delay, so that a deadline in the past doesn't cause a busy loop.
 constexpr Duration MinSleep = std::chrono::milliseconds(1);
 
 Member selfOf(const Settings &settings, const Clock &clock)
 {
-    // The start time as first incarnation: a router that comes back under its name overrides what
-    // is still believed about the one before.
+    // The start time is the first incarnation, so that a restarted router overrides what other
+    // routers still know about the previous process of that name.
     return {.name = settings.name,
             .callerAddress = settings.callerAddress,
             .peerAddress = settings.peerAddress,
@@ -54,7 +54,7 @@
     TrafficGovernor governor;
     PeerGuard guard;
     Membership membership;
-    ConfigSpread spread;
+    ConfigPropagator propagator;
     PeerTransport transport;
     HttpServer server;
     Timer timer;
@@ -73,12 +73,13 @@
                .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
                .digest = [this] { return options.config.digest(); },
                .mayDefer = [this] { return governor.allowsDeferrable(); }}),
-      spread({.clock = options.loop,
-              .config = options.config,
-              .membership = membership,
-              .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
-              .fetchLarge = [this](const std::string &from,
-                                   const ConfigDigest &) { fetchLarge(from); }}),
+      propagator(
+              {.clock = options.loop,
+               .config = options.config,
+               .membership = membership,
+               .send = [this](const std::string &to, PeerMessage it) { send(to, std::move(it)); },
+               .fetchLarge = [this](const std::string &from,
+                                    const ConfigDigest &) { fetchLarge(from); }}),
       transport(options.loop,
                 [this](const std::string &from, std::string_view it) { received(from, it); }),
       server(options.loop,
@@ -88,7 +89,7 @@
 {
     for (const std::string &it : options.settings.seeds)
         membership.addSeed(it);
-    // Connected after the spread's own, which asks for a gossip to be repeated soon.
+    // Connected after the propagator's own slot, which requests that gossip is repeated soon.
     options.config.changed().connect([this](const InventoryPtr &) { schedule(); });
     options.metrics.addCollector([this](Metrics &metrics) {
         metrics.set("catkinloft_members", static_cast<double>(membership.liveCount() + 1));
@@ -111,19 +112,19 @@
     if (isRefused(opened.fault))
         return;
     membership.receive(address, opened.message);
-    spread.receive(address, opened.message);
+    propagator.receive(address, opened.message);
     schedule();
 }
 
 void PeerTask::Private::send(const std::string &address, PeerMessage message)
 {
     std::string datagram = guard.seal(message);
-    while (datagram.size() > PeerCodec::MaxDatagram && !message.news.empty()) {
-        message.news.pop_back();
+    while (datagram.size() > PeerCodec::MaxDatagram && !message.updates.empty()) {
+        message.updates.pop_back();
         datagram = guard.seal(message);
     }
     if (datagram.size() > PeerCodec::MaxDatagram) {
-        // Only a delta full of characters that JSON escapes gets here.
+        // Only a delta with many characters that JSON escapes is still too large here.
         message.kind = PeerMessageKind::ConfigLarge;
         message.delta.clear();
         datagram = guard.seal(message);
@@ -151,7 +152,7 @@
                                  return;
                              const PeerGuard::Opened opened = guard.open(answer.value().body);
                              if (!isRefused(opened.fault))
-                                 spread.applyDelta(opened.message);
+                                 propagator.applyDelta(opened.message);
                              schedule();
                          });
 }
@@ -167,12 +168,12 @@
         exchange->respond(403, {}, {});
         return;
     }
-    // A whole inventory costs minutes of the byte limit; another router may have room.
+    // A whole inventory uses up minutes of the byte limit; another router may have capacity left.
     if (!governor.allowsDeferrable()) {
         exchange->respond(503, {}, {});
         return;
     }
-    const std::string body = guard.seal(spread.deltaSince(opened.message.digest));
+    const std::string body = guard.seal(propagator.deltaSince(opened.message.digest));
     governor.countConnection(body.size());
     exchange->respond(200, {{"Content-Type", "application/octet-stream"}}, body);
 }
@@ -180,13 +181,13 @@
 void PeerTask::Private::wake()
 {
     membership.poll();
-    spread.poll();
+    propagator.poll();
     schedule();
 }
 
 void PeerTask::Private::schedule()
 {
-    const TimePoint next = std::min(membership.nextDeadline(), spread.nextDeadline());
+    const TimePoint next = std::min(membership.nextDeadline(), propagator.nextDeadline());
     timer.start(std::max(MinSleep, next - options.loop.now()));
 }
 
@@ -225,9 +226,9 @@
     return m_d->membership;
 }
 
-ConfigSpread &PeerTask::spread()
+ConfigPropagator &PeerTask::propagator()
 {
-    return m_d->spread;
+    return m_d->propagator;
 }
 
 } // namespace catkinloft
--- a/src/Net/RouterProcess.cpp
+++ b/src/Net/RouterProcess.cpp
@@ -18,25 +18,27 @@
 
 namespace {
 
-/// How often the platform is asked for changes by a few routers.
+/// Shortest interval between reads of the platform's configuration and VM list.
 constexpr Duration PlatformPoll = std::chrono::seconds(1);
 
-/// Polls a second of the whole fleet, each two reads. Without it 890 routers would take 1,780 of
-/// the 2,000 reads a second that the table service gives, and all at once when it comes back; so
-/// the pause grows with the number of routers. Changes come from peers meanwhile.
-constexpr double FleetPolls = 50;
+/// Limit on polls per second of the whole fleet, at two reads each. The interval between polls
+/// grows with the number of routers. Without the limit 890 routers would use 1,780 of the 2,000
+/// reads per second that the table service allows, all at the same time after an outage. Between
+/// polls, changes are received from peers.
+constexpr double FleetPollsPerSecond = 50;
 
-/// How often this router looks at itself: its load, and whether it is cut off.
-constexpr Duration SelfCheck = std::chrono::milliseconds(500);
+/// Interval of updates of this router's own load and of the check whether it is isolated.
+constexpr Duration SelfCheckInterval = std::chrono::milliseconds(500);
 
-/// Without a word from the store or any other router for so long, this one may have missed an
-/// accepted change and says so. Longer than a restart of the store and than several probes.
-constexpr Duration IsolationLimit = std::chrono::seconds(10);
+/// A router that has received nothing from the store or any other router for this long is isolated:
+/// it may have missed an accepted change, and reports that. Longer than a restart of the store and
+/// than several probes.
+constexpr Duration IsolationTimeout = std::chrono::seconds(10);
 
-/// A load that is older than this says nothing about now.
-constexpr Duration LoadLife = std::chrono::seconds(5);
+/// A reported load that is older than this is ignored.
+constexpr Duration LoadLifetime = std::chrono::seconds(5);
 
-/// How often a draining process looks whether it is done.
+/// Interval of checks whether a draining process has finished its requests.
 constexpr Duration DrainPoll = std::chrono::milliseconds(50);
 
 } // namespace
@@ -74,7 +76,7 @@
                    .governor = peers.governor(),
                    .random = systemRandom(),
                    .weightStore = settings->platform.weightStore,
-                   .secure = tls.context().checksUpstreams()}),
+                   .secure = tls.context().verifiesUpstreams()}),
           gateway({.loop = loop,
                    .client = client,
                    .metrics = metrics,
@@ -87,13 +89,13 @@
                    .random = systemRandom(),
                    .served =
                            [this](const RequestContext &request, std::string_view engine) {
-                               engines.knowledge().noteServed(engine, request.chat, request.chatKey,
+                               engines.tracker().recordServed(engine, request.chat, request.chatKey,
                                                               request.work);
                            }}),
           server(loop,
                  {.address = settings->callerAddress,
                   .limits = settings->limits,
-                  .onTooMany = [this] { metrics.refused(Reason::TooManyConnections); },
+                  .onTooManyConnections = [this] { metrics.refused(Reason::TooManyConnections); },
                   .tls = &tls.context()},
                  [this](const HttpExchangePtr &it) { gateway.handle(it); }),
           poll(loop, [this] { readPlatform(); }), selfCheck(loop, [this] { checkSelf(); }),
@@ -110,7 +112,7 @@
                 peers.membership().setVms(list.value());
         });
         const double n = static_cast<double>(peers.membership().liveCount() + 1);
-        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPolls));
+        const Duration pause = std::max(PlatformPoll, fromSeconds(n / FleetPollsPerSecond));
         poll.start(scaled(pause, 0.5 + uniform(random)));
     }
 
@@ -119,10 +121,11 @@
         std::vector<RouterView> routers{directory.self()};
         routers.front().load = static_cast<double>(gateway.inProgress());
         for (const auto &[name, it] : peers.membership().members()) {
-            // A suspect gets no callers and owns nothing until it has refuted the suspicion.
+            // A suspected router gets no callers and owns no engines until it has refuted the
+            // suspicion.
             if (it.state != MemberState::Alive && it.state != MemberState::Leaving)
                 continue;
-            const bool isFresh = it.heardWithin(LoadLife, loop.now());
+            const bool isFresh = it.loadReceivedWithin(LoadLifetime, loop.now());
             routers.push_back({.name = it.name,
                                .callerAddress = it.callerAddress,
                                .peerAddress = it.peerAddress,
@@ -137,9 +140,9 @@
     {
         peers.membership().setLoad(static_cast<std::uint32_t>(gateway.inProgress()));
         updateDirectory();
-        const TimePoint heard =
-                std::max({started, config.lastConfirmed(), peers.membership().lastHeard()});
-        const bool isolated = loop.now() - heard > IsolationLimit;
+        const TimePoint lastContactAt =
+                std::max({started, config.lastConfirmed(), peers.membership().lastReceivedAt()});
+        const bool isolated = loop.now() - lastContactAt > IsolationTimeout;
         if (isolated != directory.isIsolated())
             Log::warning(isolated ? "isolated" : "connected_again",
                          {{"revision", config.digest().revision}});
@@ -188,7 +191,7 @@
     std::unique_ptr<TableService> table;
     std::unique_ptr<ObjectStore> objects;
     std::unique_ptr<VmList> vms;
-    ConfigKeeper config;
+    ConfigManager config;
     PeerTask peers;
     RouterDirectory directory;
     EngineTask engines;
@@ -199,7 +202,7 @@
     Timer poll;
     Timer selfCheck;
     Timer drainPoll;
-    TimePoint refuseFrom; ///< Callers may hold older address answers until then.
+    TimePoint refuseFrom; ///< Callers may use outdated address answers until then.
     TimePoint drainDeadline;
     bool draining = false;
 };
@@ -227,7 +230,7 @@
     m_d->loop.onSignal(SIGINT, [this] { m_d->drain(); });
     m_d->engines.start();
     m_d->readPlatform();
-    m_d->selfCheck.startRepeating(SelfCheck);
+    m_d->selfCheck.startRepeating(SelfCheckInterval);
     Log::info("started", {{"caller_address", m_d->settings->callerAddress}});
     m_d->loop.run();
     return 0;
