--- a/src/Net/StoreWatch.cpp
+++ b/src/Net/StoreWatch.cpp
@@ -12,22 +12,23 @@
 
 using namespace std::chrono_literals;
 
-/// How long one call waits for a change of the configuration, as a part of the time in which
-/// changes have to be in force. A proof is as old as the call when it returns, and twice that
-/// before the next one does.
-constexpr double WaitPart = 0.2;
-
-/// A proof that is older than this part of it has missed several answers of readers, and is read
-/// from the store: the rest is for the reading. It holds whatever the readers do.
-constexpr double ConfigOverduePart = 0.8;
-
-/// Between two reads of the replicas, as a part of the time in which a draining replica must be
-/// known: the others' asking takes another three tenths of it.
-constexpr double ReplicasPart = 0.25;
-
-/// Part of the time in which a draining replica must be known, after which the list is read from
-/// the store: the rest is for the reading.
-constexpr double ReplicasOverduePart = 0.85;
+/// How long one call waits for a change of the configuration, as a fraction of the time in which
+/// changes have to be active. When a call returns, the freshness proof is as old as the call;
+/// before the next call returns, it is twice as old.
+constexpr double WatchTimeoutFraction = 0.2;
+
+/// Age of the freshness proof, as a fraction of the same time, at which any router reads the store
+/// itself: by then several answers of readers are missing. The rest of the time is left for the
+/// read. The time is thus kept regardless of the readers.
+constexpr double ConfigOverdueFraction = 0.8;
+
+/// Interval between two reads of the replicas, as a fraction of the time in which a draining
+/// replica must be known. The asks of the other routers take another 0.3 of it.
+constexpr double ReplicasReadFraction = 0.25;
+
+/// Age of the replica list, as a fraction of the time in which a draining replica must be known, at
+/// which any router reads the store itself. The rest of the time is left for the read.
+constexpr double ReplicasOverdueFraction = 0.85;
 constexpr Duration CheckInterval = 200ms;
 
 } // namespace
@@ -50,7 +51,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.config.proofAge()
-                    > scaled(m_options.settings.configApplyLimit, ConfigOverduePart),
+                    > scaled(m_options.settings.configApplyTimeout, ConfigOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -58,7 +59,7 @@
 {
     return {.reader = m_options.isReader(),
             .overdue = m_options.replicas.age()
-                    > scaled(m_options.settings.replicaDrainLimit, ReplicasOverduePart),
+                    > scaled(m_options.settings.replicaDrainTimeout, ReplicasOverdueFraction),
             .routers = m_options.routers()};
 }
 
@@ -84,11 +85,12 @@
     if (m_storeVersion == 0)
         m_options.store.readConfig(done);
     else
-        m_options.store.watchConfig(m_storeVersion,
-                                    m_options.isReader()
-                                            ? scaled(m_options.settings.configApplyLimit, WaitPart)
-                                            : Duration::zero(),
-                                    done);
+        m_options.store.watchConfig(
+                m_storeVersion,
+                m_options.isReader()
+                        ? scaled(m_options.settings.configApplyTimeout, WatchTimeoutFraction)
+                        : Duration::zero(),
+                done);
 }
 
 void StoreWatch::configRead(const Result<ConfigRead> &read, TimePoint began)
@@ -102,22 +104,22 @@
         m_storeVersion = 0;
         return watchConfig();
     }
-    // First: the proof of the configuration stands for them too.
-    takeEvacuations(it);
+    // Evacuations first, because the freshness proof of the configuration covers them too.
+    applyEvacuations(it);
     if (it.config)
         m_options.config.accept(it.config, began);
     else
         m_options.config.confirm(m_options.config.revision(), began);
     m_storeVersion = it.storeVersion;
     if (!m_options.config.config())
-        m_configPlan.foundNothing(); // Nothing has been written yet, so there is nothing to watch.
+        m_configPlan.answeredEmpty(); // No configuration has been written yet that can be watched.
     else if (m_options.isReader())
         watchConfig();
 }
 
-void StoreWatch::takeEvacuations(const ConfigRead &read)
+void StoreWatch::applyEvacuations(const ConfigRead &read)
 {
-    if (!read.isWhole)
+    if (!read.isComplete)
         return m_options.evacuated.change(read.evacuations, read.storeVersion);
     EvacuatedDomains::State state{.storeVersion = read.storeVersion};
     for (const DomainEvacuation &it : read.evacuations)
@@ -147,9 +149,10 @@
     m_options.replicas.apply(read.value(), began);
     if (!m_options.isReader())
         return;
-    // Spread, so that routers that started together do not read together.
-    const double spread = 0.9 + 0.2 * uniform(m_options.random);
-    m_replicasTimer.start(scaled(m_options.settings.replicaDrainLimit, ReplicasPart * spread));
+    // Jitter keeps routers that started at the same time from reading at the same time.
+    const double jitter = 0.9 + 0.2 * uniform(m_options.random);
+    m_replicasTimer.start(
+            scaled(m_options.settings.replicaDrainTimeout, ReplicasReadFraction * jitter));
 }
 
 void StoreWatch::noteResult(StoreReadPlan &plan, const char *what, const Error *error)
@@ -165,17 +168,17 @@
         return;
     }
     plan.failed();
-    // An open connection may have gone silent while new ones work.
+    // An open connection may be dead while new connections succeed.
     m_options.store.dropConnections();
     if (!failing)
         Log::warning("store_lost", {{"reading", what}, {"detail", error->detail}});
 }
 
-void StoreWatch::takeConfigText(const std::string &text, TimePoint readBegan)
+void StoreWatch::applyConfigText(const std::string &text, TimePoint readStartedAt)
 {
     const Result<RouteConfigPtr> config = m_options.store.decodeConfig(text);
     if (config)
-        m_options.config.accept(config.value(), readBegan);
+        m_options.config.accept(config.value(), readStartedAt);
     else
         Log::warning("peer_config_malformed", {{"detail", config.error().detail}});
 }
--- a/src/Net/internal/HttpTableService.cpp
+++ b/src/Net/internal/HttpTableService.cpp
@@ -10,7 +10,7 @@
 
 Error storeError(int status, Verdict verdict)
 {
-    return {.reason = Reason::StoreDown,
+    return {.reason = Reason::StoreUnavailable,
             .verdict = verdict,
             .detail = fmt::format("the table service answered {}", status)};
 }
@@ -77,7 +77,7 @@
                 done(answer.error());
                 return;
             }
-            // Refusals of the service (4xx, 503) are its word that nothing took effect.
+            // A refusal of the service (4xx, 503) guarantees that nothing took effect.
             if (answer.value().head.status != 200) {
                 done(storeError(answer.value().head.status, Verdict::NotRun));
                 return;
@@ -124,7 +124,7 @@
                         .timeout = m_settings.timeout},
                        [done = std::move(done)](Result<HttpAnswer> answer) {
                            if (!answer)
-                               answer.error().reason = Reason::StoreDown;
+                               answer.error().reason = Reason::StoreUnavailable;
                            done(std::move(answer));
                        });
     }
--- a/src/Request/ClaimRow.cpp
+++ b/src/Request/ClaimRow.cpp
@@ -30,7 +30,7 @@
     Json::Value out;
     out["status"] = answer.status;
     out["type"] = answer.contentType;
-    // JSON carries text only; an answer may be anything.
+    // JSON strings have to be valid Unicode, but an answer's body may be any bytes.
     if (isUtf8(answer.body))
         out["text"] = answer.body;
     else
@@ -48,11 +48,11 @@
     return out;
 }
 
-Error notAClaim()
+Error unknownFormat()
 {
     return {.reason = Reason::OutcomeUnknown,
             .verdict = Verdict::MayHaveRun,
-            .detail = "the claim was written by another release"};
+            .detail = "the claim row can't be decoded; another release may have written it"};
 }
 
 Result<ClaimRow> rowOf(const Json::Value &root)
@@ -63,7 +63,7 @@
     while (i < StateNames.size() && StateNames[i] != state)
         ++i;
     if (i == StateNames.size())
-        return notAClaim();
+        return unknownFormat();
     out.state = static_cast<ClaimRow::State>(i);
     out.fingerprint = root["fingerprint"].asString();
     out.attempt = root["attempt"].asString();
@@ -117,9 +117,9 @@
             && root.isObject())
             return rowOf(root);
     } catch (const Json::Exception &) {
-        return notAClaim();
+        return unknownFormat();
     }
-    return notAClaim();
+    return unknownFormat();
 }
 
 } // namespace catkinloft
--- a/src/Request/IdentifyFilter.cpp
+++ b/src/Request/IdentifyFilter.cpp
@@ -23,7 +23,8 @@
     return {.reason = Reason::MalformedRequest, .detail = std::move(detail)};
 }
 
-/// Ids end up in paths, logs and table keys, so only harmless characters are let in.
+/// Ids are used in paths, logs and table keys, so only characters that need no escaping there are
+/// allowed.
 bool isSafeId(std::string_view id)
 {
     return id.size() <= MaxIdLength && std::all_of(id.begin(), id.end(), [](char c) {
@@ -44,7 +45,7 @@
 Result<void> readDeadline(RequestContext &request)
 {
     const std::string_view text = request.header(headers::Deadline);
-    request.deadline = request.arrived + request.inventory->rules.requestTimeout;
+    request.deadline = request.receivedAt + request.inventory->rules.requestTimeout;
     if (text.empty())
         return outcome::success();
     std::int64_t millis = 0;
@@ -54,7 +55,7 @@
         return malformed(fmt::format("expected '{}' as milliseconds from 1 to {}",
                                      headers::Deadline, MaxDeadlineMs));
     request.deadline =
-            std::min(request.deadline, request.arrived + std::chrono::milliseconds(millis));
+            std::min(request.deadline, request.receivedAt + std::chrono::milliseconds(millis));
     return outcome::success();
 }
 
@@ -91,7 +92,7 @@
                      .detail = "the inventory has no service of this name"};
     const auto &methods = service->idempotentMethods;
     request.idempotent = std::find(methods.begin(), methods.end(), request.method) != methods.end();
-    request.deadline = std::min(request.deadline, request.arrived + service->timeout);
+    request.deadline = std::min(request.deadline, request.receivedAt + service->timeout);
     return outcome::success();
 }
 
@@ -108,7 +109,7 @@
     const auto [end, ec] =
             std::from_chars(text.data(), text.data() + text.size(), request.lastEventId);
     if (ec != std::errc() || end != text.data() + text.size() || request.lastEventId < -1)
-        return malformed("expected 'Last-Event-ID' as the number of a token");
+        return malformed("expected 'Last-Event-ID' as an integer of at least -1");
     return outcome::success();
 }
 
@@ -136,7 +137,7 @@
         return readResume(request);
     if (request.path.starts_with(ServicePrefix))
         return readCall(request);
-    return Error{.reason = Reason::NotFound, .detail = "there is nothing at this path"};
+    return Error{.reason = Reason::NotFound, .detail = "no resource has this path"};
 }
 
 void IdentifyFilter::operator()(const RequestPtr &request, const FilterChain::Next &next) const
--- a/src/Request/StreamCursor.h
+++ b/src/Request/StreamCursor.h
@@ -4,29 +4,30 @@
 
 namespace catkinloft {
 
-/// \brief How far a stream has been delivered, over all the connections it came on.
+/// \brief Tracks how far a stream with consecutive ids was delivered, across all its connections.
 class StreamCursor
 {
 public:
-    enum class Step {
+    enum class Disposition {
         Deliver,
-        Skip, ///< The caller has it already.
-        Gap, ///< Something before it is missing: not to be delivered.
+        Skip, ///< The caller already has the event.
+        Gap, ///< An event before it is missing, so this one must not be delivered.
     };
 
-    /// \param last number of the last token that the caller has; -1: none.
+    /// \param last id of the last event that the caller has; -1 if it has none.
     explicit StreamCursor(std::int64_t last = -1) : m_last(last) { }
 
-    Step take(const SseEvent &event)
+    /// \returns what to do with the next event of the stream.
+    Disposition take(const SseEvent &event)
     {
         if (!event.id)
-            return Step::Deliver;
+            return Disposition::Deliver;
         if (*event.id <= m_last)
-            return Step::Skip;
+            return Disposition::Skip;
         if (*event.id != m_last + 1)
-            return Step::Gap;
+            return Disposition::Gap;
         m_last = *event.id;
-        return Step::Deliver;
+        return Disposition::Deliver;
     }
 
     std::int64_t last() const { return m_last; }
--- a/standin/fleet/Fleet.cpp
+++ b/standin/fleet/Fleet.cpp
@@ -24,16 +24,16 @@
 
 constexpr std::array PlatformRoles = {"table", "objects", "vms", "weights"};
 
-std::string local(std::uint16_t port)
+std::string loopbackAddress(std::uint16_t port)
 {
     return fmt::format("127.0.0.1:{}", port);
 }
 
-std::vector<std::string> localAddresses(std::size_t n)
+std::vector<std::string> loopbackAddresses(std::size_t n)
 {
     std::vector<std::string> out;
     for (const std::uint16_t it : freePorts(n))
-        out.push_back(local(it));
+        out.push_back(loopbackAddress(it));
     return out;
 }
 
@@ -41,7 +41,7 @@
 {
     std::string path = (std::filesystem::temp_directory_path() / "catkinloft-XXXXXX").string();
     if (!mkdtemp(path.data()))
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create temporary directory " + path);
     return path;
 }
 
@@ -51,11 +51,11 @@
 {
     const Deployment &d = m_options.deployment;
     for (const char *it : PlatformRoles)
-        m_platformAddresses[it] = local(freePorts(1).front());
-    m_engineAddresses = localAddresses(static_cast<std::size_t>(d.engines));
-    m_replicaAddresses = localAddresses(static_cast<std::size_t>(d.replicas));
-    m_routerAddresses = localAddresses(static_cast<std::size_t>(d.routers));
-    m_peerAddresses = localAddresses(static_cast<std::size_t>(d.routers));
+        m_platformAddresses[it] = loopbackAddress(freePorts(1).front());
+    m_engineAddresses = loopbackAddresses(static_cast<std::size_t>(d.engines));
+    m_replicaAddresses = loopbackAddresses(static_cast<std::size_t>(d.replicas));
+    m_routerAddresses = loopbackAddresses(static_cast<std::size_t>(d.routers));
+    m_peerAddresses = loopbackAddresses(static_cast<std::size_t>(d.routers));
     m_engines.resize(m_engineAddresses.size());
     m_replicas.resize(m_replicaAddresses.size());
     m_routers.resize(m_routerAddresses.size());
@@ -107,7 +107,7 @@
             targets.push_back(m_platformAddresses.at(it));
     }
     for (const std::string &it : targets) {
-        const std::vector<std::string> own = localAddresses(2);
+        const std::vector<std::string> own = loopbackAddresses(2);
         Proxy &proxy = m_proxies[it];
         proxy.listen = own[0];
         proxy.control = own[1];
@@ -118,20 +118,20 @@
     }
 }
 
-std::string Fleet::via(const std::string &address) const
+std::string Fleet::proxiedAddress(const std::string &address) const
 {
     const auto it = m_proxies.find(address);
     return it == m_proxies.end() ? address : it->second.listen;
 }
 
-void Fleet::strike(const std::string &address, const std::string &faults)
+void Fleet::setProxyFaults(const std::string &address, const std::string &faults)
 {
     const Result<HttpAnswer> answer = fetch({.address = m_proxies.at(address).control,
                                              .method = "POST",
                                              .target = "/v1/faults",
                                              .body = faults});
     if (!answer || answer.value().head.status != 200)
-        throw std::runtime_error("a proxy does not take its faults");
+        throw std::runtime_error("proxy did not accept the faults");
 }
 
 void Fleet::setPlatformMode(const std::string &role, const std::string &mode,
@@ -143,7 +143,7 @@
                    .target = "/v1/control",
                    .body = fmt::format(R"({{"mode":"{}"{}}})", mode, more)});
     if (!answer || answer.value().head.status != 204)
-        throw std::runtime_error("a platform role does not take its mode");
+        throw std::runtime_error("platform role did not accept the mode");
 }
 
 std::string Fleet::recordFile(const std::string &name) const
@@ -209,8 +209,10 @@
         << "refusal_keys:\n  - {id: r1, secret: refusal-secret-of-the-tests}\n"
         << fmt::format("platform:\n  table_service: {}\n  object_store: {}\n  vm_list: {}\n"
                        "  weight_store: {}\n",
-                       via(platformAddress("table")), via(platformAddress("objects")),
-                       via(platformAddress("vms")), via(platformAddress("weights")))
+                       proxiedAddress(platformAddress("table")),
+                       proxiedAddress(platformAddress("objects")),
+                       proxiedAddress(platformAddress("vms")),
+                       proxiedAddress(platformAddress("weights")))
         << m_options.extraSettings;
 }
 
@@ -231,19 +233,19 @@
     waitUntilListening(m_engineAddresses);
     waitUntilListening(m_replicaAddresses);
     for (const auto &[target, proxy] : m_proxies)
-        waitUntilListening({proxy.control}); // It opens behind the proxy's own address.
+        waitUntilListening({proxy.control}); // Opened after the proxy's own address.
     const auto answers = [](const std::string &address, const char *target) {
         const Result<HttpAnswer> answer = fetch({.address = address, .target = target});
         return answer && answer.value().head.status == 200;
     };
     if (!waitFor([&] { return answers(platformAddress("vms"), "/v1/vms"); }))
-        throw std::runtime_error("the VM list does not answer");
+        throw std::runtime_error("no answer from the VM list");
     publishVms();
     if (!waitFor([&] { return apply(inventory()) == 200; }))
-        throw std::runtime_error("the first configuration was not accepted");
+        throw std::runtime_error("router 0 did not accept the first configuration");
     for (const std::string &it : m_routerAddresses) {
         if (!waitFor([&] { return answers(it, "/readyz"); }))
-            throw std::runtime_error("a router does not become ready");
+            throw std::runtime_error("router did not become ready: " + it);
     }
 }
 
@@ -268,13 +270,15 @@
                                              .target = "/v1/vms",
                                              .body = fmt::format(R"({{"vms":[{}]}})", vms)});
     if (!answer)
-        throw std::runtime_error("the VM list does not answer");
+        throw std::runtime_error("no answer from the VM list");
 }
 
 std::string Fleet::inventory(const std::function<std::string(std::string)> &edit) const
 {
     const Deployment &d = deployment();
-    const auto address = [&](const std::string &it) { return edit ? edit(it) : via(it); };
+    const auto address = [&](const std::string &it) {
+        return edit ? edit(it) : proxiedAddress(it);
+    };
     const auto domain = [&](std::size_t i) {
         return d.failureDomains[i % d.failureDomains.size()];
     };
--- a/test/ColdPaceTest.cpp
+++ b/test/ColdRateLimitTest.cpp
@@ -1,4 +1,4 @@
-#include "Decide/ColdPace.h"
+#include "Decide/ColdRateLimit.h"
 #include "Base/ManualClock.h"
 #include "Control/FleetView.h"
 #include "Decide/ReplicaPool.h"
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Routers that share no counter, each with its own view of the fleet and its pool, before replicas
-/// of which some are cold.
+/// Routers that share no counter, each with its own fleet view and pool, and replicas of which some
+/// are cold.
 struct ColdReplicaFleetFixture
 {
     struct Router
@@ -38,17 +38,17 @@
             it.pool = std::make_unique<ReplicaPool>(ReplicaPool::Options{
                     .clock = clock,
                     .random = seededRandom(i),
-                    .routers = [&view] { return view.sharers(); },
+                    .routers = [&view] { return view.sharingRouters(); },
                     .isColdSender =
                             [&view](std::string_view replica, std::size_t senders) {
                                 return view.isChosenFor(replica, senders);
                             }});
-            it.pool->setColdLimit(Bearable);
+            it.pool->setColdRateLimit(FleetLimit);
             routers.push_back(std::move(it));
         }
     }
 
-    /// Lets router \a i know \a others of the fleet.
+    /// Adds the first \a others routers to the fleet view of router \a i.
     void introduce(std::size_t i, std::size_t others)
     {
         std::vector<RegisteredRouter> rows;
@@ -75,13 +75,13 @@
                             .service = "s",
                             .failureDomain = "d0",
                             .slots = 12,
-                            .coldFor = i < cold ? ColdTime : Duration::zero(),
+                            .coldDuration = i < cold ? ColdTime : Duration::zero(),
                             .coldUntil = i < cold ? clock.now() + ColdTime : TimePoint()});
         for (Router &it : routers)
             it.pool->setReplicas(list);
     }
 
-    /// Sends \a perSecond requests through routers in turn for \a length, each of which runs 20 ms.
+    /// Sends \a perSecond requests for \a length, through the routers in turn.
     void load(int perSecond, Duration length)
     {
         const Duration step = Duration(1s) / perSecond;
@@ -99,8 +99,8 @@
         }
     }
 
-    /// \returns the most requests that one replica whose name begins with \a prefix got in a
-    /// second.
+    /// \returns the largest number of requests in any second to one replica whose id begins with
+    /// \a prefix.
     std::size_t mostInASecond(const std::string &prefix) const
     {
         std::size_t most = 0;
@@ -124,7 +124,7 @@
         return n;
     }
 
-    static constexpr double Bearable = 17;
+    static constexpr double FleetLimit = 17;
     static constexpr Duration ColdTime = 30s;
 
     ManualClock clock;
@@ -136,70 +136,74 @@
 
 } // namespace
 
-TEST_CASE("coldPace_anyFleet_twoSetsOfSendersStayWithinWhatIsBorne")
+TEST_CASE("coldRateLimit_anyFleet_twoSetsOfSendersStayWithinTheLimit")
 {
-    for (const double bearable : {0.4, 1.0, 1.9, 2.0, 5.0, 17.4, 50.0, 1000.0}) {
+    for (const double fleetLimit : {0.4, 1.0, 1.9, 2.0, 5.0, 17.4, 50.0, 1000.0}) {
         for (const int routers : {1, 2, 9, 73, 295, 890}) {
-            const ColdPace pace = ColdPace::shareOf(bearable, routers);
-            const double perSender = std::floor(1s / pace.spacing) + 1;
-            CAPTURE(bearable);
+            const ColdRateLimit limit = ColdRateLimit::fromFleetLimit(fleetLimit, routers);
+            const double perSender = std::floor(1s / limit.minInterval) + 1;
+            CAPTURE(fleetLimit);
             CAPTURE(routers);
-            CHECK(pace.senders >= 1);
-            CHECK(pace.senders <= static_cast<std::size_t>(routers));
-            if (bearable >= 2)
-                CHECK(2 * perSender * static_cast<double>(pace.senders) <= bearable);
+            CHECK(limit.senders >= 1);
+            CHECK(limit.senders <= static_cast<std::size_t>(routers));
+            if (fleetLimit >= 2)
+                CHECK(2 * perSender * static_cast<double>(limit.senders) <= fleetLimit);
             else
-                CHECK(toSeconds(pace.spacing) * bearable >= 2);
+                CHECK(toSeconds(limit.minInterval) * fleetLimit >= 2);
         }
     }
 }
 
-// Guards against hundreds of routers that each send a cold replica a little and end it together.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_hundredsOfRouters_sendWhatItBearsTogether")
+// Guards against hundreds of routers that each send a few requests to a cold replica and together
+// overload it.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
+                  "coldReplica_hundredsOfRouters_stayWithinItsLimitTogether")
 {
     addRouters(295);
     introduceAll();
     setReplicas(4, 36);
     load(2000, 8s);
     CHECK(refused == 0);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(arrivedAt("cold") > 0);
 }
 
-// Guards against routers that don't know each other yet: each takes itself for a sender.
+// Guards against routers that do not know each other yet, so that each of them considers itself a
+// sender.
 TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
-                  "coldReplica_routersStartAndBelieveInDifferentFleets_staysWithinWhatItBears")
+                  "coldReplica_routersStartWithDifferentFleetViews_stayWithinItsLimit")
 {
     addRouters(70);
     for (std::size_t i = 0; i < routers.size(); ++i) {
-        // The last ones have not read the rows; others have read them before all were written.
+        // The last ten have not read the rows; others have read them before all were written.
         if (i < 60)
             introduce(i, i < 30 ? 70 : 40);
     }
     setReplicas(4, 30);
     load(1500, 8s);
     CHECK(refused == 0);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
 }
 
-// Guards against refusing while every replica is cold but all together bear the load.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_allAreCold_takeAThirdOfWhatTheyBear")
+// Guards against refusing requests while every replica is cold but the sum of their limits is
+// sufficient.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_allAreCold_takeAThirdOfTheirLimits")
 {
     addRouters(70);
     introduceAll();
     setReplicas(140, 0);
     load(600, 5s);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(refused < 30);
 }
 
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_warmAgain_isLimitedNoMore")
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_warmAgain_isNoLongerLimited")
 {
     addRouters(2);
     introduceAll();
     setReplicas(1, 0);
     load(100, 2s);
-    CHECK(mostInASecond("cold") <= Bearable);
+    CHECK(mostInASecond("cold") <= FleetLimit);
     CHECK(refused > 100);
     clock.advance(ColdTime);
     refused = 0;
@@ -207,9 +211,10 @@
     CHECK(refused == 0);
 }
 
-// Guards against a domain that is taken back and gets its usual load before entries say that it is
-// cold.
-TEST_CASE_FIXTURE(ColdReplicaFleetFixture, "coldReplica_domainTakenBack_isPacedUntilEntriesTell")
+// Guards against a domain that is no longer evacuated and gets its usual load before the registry
+// entries show that its replicas are cold.
+TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
+                  "coldReplica_domainNoLongerEvacuated_isLimitedUntilEntriesAreCurrent")
 {
     addRouters(10);
     introduceAll();
@@ -219,7 +224,7 @@
         it.pool->setEvacuated({});
     }
     load(400, 2s);
-    CHECK(mostInASecond("warm") <= Bearable);
+    CHECK(mostInASecond("warm") <= FleetLimit);
     CHECK(refused > 0);
     clock.advance(2s);
     refused = 0;
@@ -227,20 +232,21 @@
     CHECK(refused == 0);
 }
 
-// Guards against a replica that ends, comes back cold at once and still has its entry of before.
+// Guards against a replica that terminates and returns cold while its registry entry is still the
+// former one.
 TEST_CASE_FIXTURE(ColdReplicaFleetFixture,
-                  "coldReplica_backAfterItWasAway_isPacedUntilItsEntryTells")
+                  "coldReplica_returnsAfterUnreachable_isLimitedUntilItsEntryIsCurrent")
 {
     addRouters(10);
     introduceAll();
     setReplicas(0, 2);
     for (Router &it : routers)
-        it.pool->noteAway("warm-0");
+        it.pool->noteUnreachable("warm-0");
     load(400, 2s);
-    CHECK(mostInASecond("warm-0") <= Bearable);
+    CHECK(mostInASecond("warm-0") <= FleetLimit);
     CHECK(refused == 0);
     clock.advance(5s);
     arrivals.clear();
     load(400, 1s);
-    CHECK(mostInASecond("warm-0") > Bearable);
+    CHECK(mostInASecond("warm-0") > FleetLimit);
 }
--- a/test/ConfigKeeperTest.cpp
+++ b/test/ConfigManagerTest.cpp
@@ -54,8 +54,8 @@
         return finish(start(router, base, base + 1, changeId));
     }
 
-    /// Every router's own list of applied revisions, which may only rise.
-    void checkNeverFell()
+    /// Checks that the revisions activated by each router only rise.
+    void checkRevisionsOnlyRose()
     {
         for (std::size_t i = 0; i < group.size(); ++i) {
             const auto &applied = group.node(i).applied;
@@ -68,38 +68,38 @@
 } // namespace
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_manyChangesAtTwentyPercentLoss_eachIsInForceWithinFourSeconds")
+                  "config_manyChangesAtTwentyPercentLoss_eachIsActiveWithinFourSeconds")
 {
     group.setLoss(0.2);
     for (std::uint64_t base = 1; base < 30; ++base) {
         REQUIRE(apply(base % 9, base));
         CHECK(group.runUntil([&] { return group.allHold(base + 1); }, 4s));
     }
-    checkNeverFell();
+    checkRevisionsOnlyRose();
     CHECK(group.objects().gets() == 0);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_olderBodyFromPeer_isNotApplied")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_olderBodyFromPeer_isNotActivated")
 {
     const std::string old = group.node(4).config->text();
     REQUIRE(apply(0, 1));
     REQUIRE(group.runUntil([&] { return group.allHold(2); }, 4s));
     for (const std::uint64_t revision : {1, 2}) {
         CHECK_FALSE(
-                group.node(4).config->takeOver({.revision = revision, .hash = hash64(old)}, old));
+                group.node(4).config->activate({.revision = revision, .hash = hash64(old)}, old));
         CHECK(group.node(4).config->digest().revision == 2);
     }
     CHECK(group.node(4).config->text() != old);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_bodyThatIsNotItsDigests_isNotApplied")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_bodyWithWrongHash_isNotActivated")
 {
     const std::string text = inventoryText(12, 5);
-    CHECK_FALSE(group.node(4).config->takeOver({.revision = 9, .hash = 1}, text));
+    CHECK_FALSE(group.node(4).config->activate({.revision = 9, .hash = 1}, text));
     CHECK(group.node(4).config->digest().revision == 1);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_hundredRaces_haveOneWinnerEach")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_hundredConcurrentProposals_oneOfEachIsAccepted")
 {
     for (std::uint64_t base = 1; base <= 100; ++base) {
         std::vector<std::shared_ptr<Answer>> answers;
@@ -120,10 +120,10 @@
         CHECK(winners == 1);
     }
     REQUIRE(group.runUntil([&] { return group.allHold(101); }, 4s));
-    checkNeverFell();
+    checkRevisionsOnlyRose();
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostCommitAnswer_isSettledAsAccepted")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostCommitAnswer_isResolvedAsAccepted")
 {
     group.table().setMode(StoreMode::LoseAnswers);
     const Result<std::uint64_t> result = apply(2, 1);
@@ -132,12 +132,11 @@
     CHECK(group.runUntil([&] { return group.allHold(2); }, 4s));
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_lostAnswerAndStoreDown_saysThatItMayHaveBeenAccepted")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_lostAnswerAndStoreDown_verdictIsMayHaveRun")
 {
     group.table().setMode(StoreMode::LoseAnswers);
     const auto answer = start(2, 1, 2, "change-1");
-    group.run(16ms); // Read, body, commit: its answer is lost.
+    group.run(16ms); // Read, body and commit, whose answer is lost.
     group.table().setMode(StoreMode::Down);
     const Result<std::uint64_t> result = finish(answer);
     REQUIRE_FALSE(result);
@@ -149,16 +148,16 @@
     CHECK(again.value() == 2);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_storeDownBeforeCommit_saysThatNothingChanged")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_storeDownBeforeCommit_verdictIsNotRun")
 {
     group.table().setMode(StoreMode::Down);
     const Result<std::uint64_t> result = apply(2, 1);
     REQUIRE_FALSE(result);
     CHECK((result.error().verdict == Verdict::NotRun));
-    CHECK(result.error().reason == Reason::StoreDown);
+    CHECK(result.error().reason == Reason::StoreUnavailable);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_repeatedChangeId_getsTheFirstResult")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_resentChangeId_returnsTheFirstResult")
 {
     REQUIRE(finish(start(0, 1, 2, "once")).value() == 2);
     REQUIRE(finish(start(0, 2, 3, "other")).value() == 3);
@@ -168,7 +167,7 @@
     CHECK(group.node(0).config->digest().revision == 3);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_rollBack_isANewRevisionWithTheOldText")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "config_rollBack_createsANewRevisionWithTheOldText")
 {
     const std::string first = group.node(0).config->text();
     REQUIRE(apply(0, 1));
@@ -187,7 +186,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_storeDownAfterAcceptance_stillReachesAllAndANewRouter")
+                  "config_storeDownAfterAcceptance_propagatesToAllAndToARestartedRouter")
 {
     REQUIRE(apply(0, 1));
     group.table().setMode(StoreMode::Down);
@@ -200,7 +199,7 @@
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_partitionHealed_lowerSideTakesOverTheHigherRevision")
+                  "config_partitionHealed_lowerSideActivatesTheHigherRevision")
 {
     group.block([](std::size_t a, std::size_t b) { return (a < 4) != (b < 4); });
     for (std::uint64_t base = 1; base <= 5; ++base)
@@ -212,11 +211,11 @@
     for (std::size_t i = 0; i < group.size(); ++i)
         group.node(i).membership->setVms(group.vms());
     CHECK(group.runUntil([&] { return group.allHold(6); }, 10s));
-    checkNeverFell();
+    checkRevisionsOnlyRose();
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_storeRestoredFromAnOldCopy_keepsTheHigherRevisionAndRefusesChanges")
+                  "config_storeRestoredFromBackup_keepsTheHigherRevisionAndRefusesChanges")
 {
     REQUIRE(apply(0, 1));
     REQUIRE(group.runUntil([&] { return group.allHold(2); }, 4s));
@@ -226,20 +225,20 @@
     group.node(3).config->refresh();
     const Result<std::uint64_t> result = apply(3, 1);
     REQUIRE_FALSE(result);
-    CHECK(result.error().reason == Reason::StoreDown);
+    CHECK(result.error().reason == Reason::StoreUnavailable);
     CHECK(group.node(3).config->digest().revision == 2);
 }
 
-TEST_CASE("config_peerBringsRevisionWhileHeadIsRead_losesTheRaceAndIsToldSo")
+TEST_CASE("config_peerSendsRevisionWhileHeadIsRead_proposalGetsAConflict")
 {
     const ManualClock clock;
     FakeTable table;
     FakeObjectStore objects;
-    ConfigKeeper keeper({.table = table,
-                         .objects = objects,
-                         .clock = clock,
-                         .random = seededRandom(1),
-                         .after = [](Duration, const std::function<void()> &) {}});
+    ConfigManager manager({.table = table,
+                           .objects = objects,
+                           .clock = clock,
+                           .random = seededRandom(1),
+                           .after = [](Duration, const std::function<void()> &) {}});
     const std::string first = inventoryText(12, 1);
     const std::string second = inventoryText(12, 2);
     const auto headOf = [](std::uint64_t revision, const std::string &text) {
@@ -249,12 +248,12 @@
     };
     table.rows[config_rows::Head] = {
             .key = config_rows::Head, .value = headOf(1, first), .version = 1};
-    REQUIRE(keeper.takeOver({.revision = 1, .hash = hash64(first)}, first));
+    REQUIRE(manager.activate({.revision = 1, .hash = hash64(first)}, first));
     Answer answer;
-    keeper.propose({.text = inventoryText(12, 3), .base = 1, .author = "desk"},
-                   [&](Result<std::uint64_t> it) { answer = it; });
-    // The answer still shows the first revision, though a peer has told of the second.
-    REQUIRE(keeper.takeOver({.revision = 2, .hash = hash64(second)}, second));
+    manager.propose({.text = inventoryText(12, 3), .base = 1, .author = "desk"},
+                    [&](Result<std::uint64_t> it) { answer = it; });
+    // The answer still contains the first revision, although a peer has sent the second.
+    REQUIRE(manager.activate({.revision = 2, .hash = hash64(second)}, second));
     table.end(0, FakeTable::Fate::Answered);
     table.rows[config_rows::Head] = {
             .key = config_rows::Head, .value = headOf(2, second), .version = 2};
@@ -263,11 +262,11 @@
     REQUIRE_FALSE(answer->has_value());
     CHECK(answer->error().reason == Reason::ConfigConflict);
     CHECK((answer->error().verdict == Verdict::NotRun));
-    CHECK(keeper.digest().revision == 2);
+    CHECK(manager.digest().revision == 2);
 }
 
 TEST_CASE_FIXTURE(ConfiguredRoutersFixture,
-                  "config_headSeenFirst_waitsForPeersBeforeItReadsTheBody")
+                  "config_higherHeadRead_waitsForPeersBeforeReadingTheBody")
 {
     group.block([](std::size_t, std::size_t b) { return b == 8; });
     REQUIRE(apply(0, 1));
@@ -278,24 +277,24 @@
     CHECK(group.objects().gets() == 1);
 }
 
-TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "spread_waiter_isToldHowManyHoldTheRevision")
+TEST_CASE_FIXTURE(ConfiguredRoutersFixture, "propagator_awaitHolders_reportsHowManyHaveTheRevision")
 {
     REQUIRE(apply(0, 1));
     std::optional<std::size_t> held;
-    group.node(0).spread->awaitHolders(2, 2, group.clock().now() + 2s,
-                                       [&](std::size_t n) { held = n; });
+    group.node(0).propagator->awaitHolders(2, 2, group.clock().now() + 2s,
+                                           [&](std::size_t n) { held = n; });
     REQUIRE(group.runUntil([&] { return held.has_value(); }, 2s));
     CHECK(*held >= 2);
     std::optional<std::size_t> late;
-    group.node(0).spread->awaitHolders(99, 2, group.clock().now() + 2s,
-                                       [&](std::size_t n) { late = n; });
+    group.node(0).propagator->awaitHolders(99, 2, group.clock().now() + 2s,
+                                           [&](std::size_t n) { late = n; });
     group.schedule(0);
     CHECK_FALSE(late);
     group.run(3s);
     CHECK(late == 0);
 }
 
-TEST_CASE("textDelta_randomEdits_bringTheOtherText")
+TEST_CASE("textDelta_randomEdits_produceTheNewText")
 {
     const RandomSource random = seededRandom(5);
     for (int round = 0; round < 300; ++round) {
--- a/test/LeaseKeeperTest.cpp
+++ b/test/LeaseManagerTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/LeaseKeeper.h"
+#include "Control/LeaseManager.h"
 #include "Base/Log.h"
 #include "Base/ManualClock.h"
 #include "StepTable.h"
@@ -16,24 +16,27 @@
 
 struct LeaseFixture
 {
-    std::unique_ptr<LeaseKeeper> keeper(const char *name, std::uint64_t seed, Duration margin = 2s)
+    std::unique_ptr<LeaseManager> makeManager(const char *name, std::uint64_t seed,
+                                              Duration margin = 2s)
     {
-        auto out = std::make_unique<LeaseKeeper>(LeaseKeeper::Options{.clock = clock,
-                                                                      .random = seededRandom(seed),
-                                                                      .table = table,
-                                                                      .key = "lease/test",
-                                                                      .self = name,
-                                                                      .margin = margin});
+        auto out =
+                std::make_unique<LeaseManager>(LeaseManager::Options{.clock = clock,
+                                                                     .random = seededRandom(seed),
+                                                                     .table = table,
+                                                                     .key = "lease/test",
+                                                                     .self = name,
+                                                                     .margin = margin});
         out->setWanted(true);
         return out;
     }
 
-    /// Lets time pass in small steps, with every request meeting \a fate.
-    void pass(Duration time, std::initializer_list<LeaseKeeper *> awake, Fate fate = Fate::Answered)
+    /// Advances the clock in small steps; every request ends with \a fate.
+    void pass(Duration time, std::initializer_list<LeaseManager *> awake,
+              Fate fate = Fate::Answered)
     {
         for (Duration t{}; t < time; t += 500ms) {
             clock.advance(500ms);
-            for (LeaseKeeper *it : awake)
+            for (LeaseManager *it : awake)
                 it->poll();
             table.run(fate);
         }
@@ -41,24 +44,25 @@
 
     ManualClock clock;
     StepTable table;
-    std::unique_ptr<LeaseKeeper> a = keeper("a", 1);
-    std::unique_ptr<LeaseKeeper> b = keeper("b", 2);
+    std::unique_ptr<LeaseManager> a = makeManager("a", 1);
+    std::unique_ptr<LeaseManager> b = makeManager("b", 2);
 };
 
-/// Two holders under a random schedule of pauses, lost and late requests. Each acts whenever it may
-/// and the engine's side of the story is checked: numbers never fall and none has two holders.
-class RandomSchedule : LeaseFixture
+/// Two contenders under a random schedule of pauses, lost and late requests. Each acts whenever it
+/// holds the lease. The engine's view is checked: fencing numbers never fall and no number has two
+/// holders.
+class RandomLeaseSchedule : LeaseFixture
 {
 public:
-    RandomSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
+    RandomLeaseSchedule(std::uint64_t seed, Duration margin, bool brokenTable)
         : m_random(seededRandom(seed))
     {
-        a = keeper("a", 2 * seed, margin);
-        b = keeper("b", 2 * seed + 1, margin);
+        a = makeManager("a", 2 * seed, margin);
+        b = makeManager("b", 2 * seed + 1, margin);
         table.ignoresVersions = brokenTable;
     }
 
-    /// \returns whether the rules held; how often a holder acted is added to \a acts.
+    /// \returns whether no violation was found; adds the number of actions to \a acts.
     bool run(int &acts)
     {
         for (int i = 0; i < 1500 && m_isSafe; ++i) {
@@ -83,7 +87,7 @@
         else if (dice < 67)
             b->poll();
         else if (dice < 69)
-            table.landLate();
+            table.applyLate();
         else if (dice < 71)
             (below(m_random, 2) == 0 ? a : b)->setWanted(below(m_random, 4) != 0);
         else if (table.waiting() > 0)
@@ -97,7 +101,7 @@
         return below(m_random, 3) == 0 ? Faults[below(m_random, Faults.size())] : Fate::Answered;
     }
 
-    void act(int who, const LeaseKeeper &holder, int &acts)
+    void act(int who, const LeaseManager &holder, int &acts)
     {
         const auto fence = holder.fence();
         if (!fence)
@@ -114,28 +118,28 @@
     int m_last = -1;
 };
 
-int unsafeSchedules(Duration margin, bool brokenTable, int &acts)
+int countUnsafeSchedules(Duration margin, bool brokenTable, int &acts)
 {
     Log::setLevel(LogLevel::Error);
     int out = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed)
-        out += RandomSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
+        out += RandomLeaseSchedule(seed, margin, brokenTable).run(acts) ? 0 : 1;
     Log::setLevel(LogLevel::Info);
     return out;
 }
 
 } // namespace
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsUnderOneNumber")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_twoContenders_oneHoldsAndRenewsWithTheSameNumber")
 {
     pass(300s, {a.get(), b.get()});
     CHECK(a->fence().has_value() != b->fence().has_value());
     CHECK((a->fence() ? a : b)->fence() == 1u);
-    // One taking and a renewal every 15 s, 20 at most: what the capacity page counts with.
+    // One acquisition and a renewal every 15 s, 20 at most, as the capacity planning assumes.
     CHECK(table.writes() <= 21);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsEnd_mayNotActThoughItHeardNothing")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_holderPausedPastItsExpiry_hasNoFencingNumber")
 {
     pass(10s, {a.get()});
     REQUIRE(a->fence() == 1u);
@@ -148,7 +152,7 @@
     CHECK_FALSE(confirmed);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfTaking_isSettledByReadingBack")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_lostAnswerOfAcquisition_isResolvedByReadingTheRow")
 {
     clock.advance(10s);
     a->poll();
@@ -159,7 +163,7 @@
     CHECK(a->fence() == 1u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_keepsUntilExpiryThenStopsAndTakesAnewOnReturn")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_storeDown_isHeldUntilExpiryAndAcquiredAnewAfterTheOutage")
 {
     pass(10s, {a.get()});
     pass(25s, {a.get()}, Fate::LostRequest);
@@ -170,7 +174,7 @@
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givenBack_isTakenWithoutWaitingForItsEnd")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_released_isAcquiredWithoutWaitingForItsExpiry")
 {
     pass(10s, {a.get()});
     a->setWanted(false);
@@ -179,8 +183,7 @@
     CHECK(b->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture,
-                  "lease_engineSawHigherNumber_numberRisesAboveItWithoutLosingTheLease")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_engineReceivedHigherNumber_numberRisesWithoutLosingTheLease")
 {
     pass(10s, {a.get()});
     a->raiseFence(41);
@@ -188,41 +191,42 @@
     CHECK(a->fence() == 42u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isNotTheOldHolder")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_restartedRouter_isAnotherHolder")
 {
     pass(10s, {a.get()});
-    a = keeper("a", 77);
+    a = makeManager("a", 77);
     pass(20s, {a.get()});
     CHECK_FALSE(a->fence());
     pass(40s, {a.get()});
     CHECK(a->fence() == 2u);
 }
 
-TEST_CASE_FIXTURE(LeaseFixture, "lease_givingBackStillUnderWay_isNotHeldWhenWantedAgain")
+TEST_CASE_FIXTURE(LeaseFixture, "lease_releaseInFlight_isNotHeldWhenWantedAgain")
 {
-    // Found by the random schedules: the giving back landed while its sender held on again.
+    // Guards against a release that takes effect after its sender wants the lease again and
+    // considers it held.
     pass(10s, {a.get()});
     a->setWanted(false);
     a->poll();
     table.step(0, Fate::Late);
     a->setWanted(true);
     CHECK_FALSE(a->fence());
-    table.landLate();
+    table.applyLate();
     pass(16s, {b.get()});
     CHECK(b->fence() == 2u);
     CHECK_FALSE(a->fence());
 }
 
-TEST_CASE("lease_randomSchedules_neverTwoHoldersNorFallingNumbers")
+TEST_CASE("lease_randomSchedules_neverTwoHoldersOrFallingNumbers")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(2s, false, acts) == 0);
-    CHECK(acts > 10'000); // Else the schedules would prove nothing.
+    CHECK(countUnsafeSchedules(2s, false, acts) == 0);
+    CHECK(acts > 10'000); // Fewer actions would make the check meaningless.
 }
 
-TEST_CASE("lease_rulesBrokenOnPurpose_areCaughtByTheSameSchedules")
+TEST_CASE("lease_injectedViolations_areDetectedByTheSameSchedules")
 {
     int acts = 0;
-    CHECK(unsafeSchedules(-30s, false, acts) > 0); // Acts on after the end.
-    CHECK(unsafeSchedules(2s, true, acts) > 0); // A compare-and-set that does not compare.
+    CHECK(countUnsafeSchedules(-30s, false, acts) > 0); // The holder acts after the expiry.
+    CHECK(countUnsafeSchedules(2s, true, acts) > 0); // The compare-and-set does not compare.
 }
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -31,31 +31,31 @@
     }
 };
 
-Member news(MemberState state, std::uint64_t incarnation)
+Member update(MemberState state, std::uint64_t incarnation)
 {
     return {.name = "a", .state = state, .incarnation = incarnation};
 }
 
 } // namespace
 
-TEST_CASE_FIXTURE(NineRoutersFixture, "membership_oneSeed_bringsAllTogether")
+TEST_CASE_FIXTURE(NineRoutersFixture, "membership_oneSeed_connectsAllRouters")
 {
     for (std::size_t i = 1; i < group.size(); ++i)
         group.node(i).membership->addSeed(group.node(0).address);
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 20s));
 }
 
-TEST_CASE_FIXTURE(NineRoutersFixture, "membership_listOfVmsOnOneRouterOnly_bringsAllTogether")
+TEST_CASE_FIXTURE(NineRoutersFixture, "membership_vmListOnOneRouterOnly_connectsAllRouters")
 {
     group.node(3).membership->setVms(group.vms());
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 20s));
 }
 
 TEST_CASE_FIXTURE(IntroducedRoutersFixture,
-                  "membership_listNamesTheDeadAndLacksTheLiving_isNotBelieved")
+                  "membership_vmListNamesDeadAndLacksLiveRouters_doesNotChangeTheView")
 {
     group.stop(4);
-    REQUIRE(group.runUntil([&] { return group.allBelieve("router-4", MemberState::Dead); }, 20s));
+    REQUIRE(group.runUntil([&] { return group.allHaveState("router-4", MemberState::Dead); }, 20s));
     std::vector<VmEntry> wrong = {{.name = "router-4", .peerAddress = group.node(4).address},
                                   {.name = "never-was", .peerAddress = "10.9.9.9:1"}};
     for (std::size_t i = 0; i < group.size(); ++i)
@@ -64,10 +64,11 @@
     CHECK(everyoneKnows(8));
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_killedRouter_isDeadEverywhereWithinSeconds")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture,
+                  "membership_killedRouter_isDeadEverywhereWithinEightSeconds")
 {
     group.stop(2);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-2", MemberState::Dead); }, 8s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-2", MemberState::Dead); }, 8s));
 }
 
 TEST_CASE_FIXTURE(IntroducedRoutersFixture,
@@ -75,11 +76,12 @@
 {
     group.node(5).membership->leave();
     group.schedule(5);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-5", MemberState::Leaving); }, 1s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-5", MemberState::Leaving); }, 1s));
 }
 
-// Guards against a router that never hears that another leaves: news of it is passed on a bounded
-// number of times to members drawn at random, in a fleet that has just seen a death and a return.
+// Guards against a router that never learns that another one leaves. The update is disseminated
+// only a bounded number of times to random members, and the fleet has just disseminated a death and
+// a return.
 TEST_CASE("membership_leavingAfterADeathAndAReturn_isKnownEverywhereInEveryFleet")
 {
     constexpr std::uint64_t Fleets = 1000;
@@ -91,17 +93,17 @@
         group.stop(3);
         group.stop(4);
         const auto bothDead = [&] {
-            return group.allBelieve("router-3", MemberState::Dead)
-                    && group.allBelieve("router-4", MemberState::Dead);
+            return group.allHaveState("router-3", MemberState::Dead)
+                    && group.allHaveState("router-4", MemberState::Dead);
         };
         REQUIRE(group.runUntil(bothDead, 30s));
         group.node(4).up = true;
         group.schedule(4);
-        REQUIRE(group.runUntil([&] { return group.allBelieve("router-4", MemberState::Alive); },
+        REQUIRE(group.runUntil([&] { return group.allHaveState("router-4", MemberState::Alive); },
                                30s));
         group.node(5).membership->leave();
         group.schedule(5);
-        const auto known = [&] { return group.allBelieve("router-5", MemberState::Leaving); };
+        const auto known = [&] { return group.allHaveState("router-5", MemberState::Leaving); };
         if (!group.runUntil(known, 4s))
             late.push_back(seed);
     }
@@ -109,14 +111,14 @@
     CHECK(late.empty());
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_pausedRouter_isAliveAgainAfterItsReturn")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_pausedRouter_isAliveAgainAfterItResumes")
 {
     group.stop(2);
     group.run(15s);
-    REQUIRE(group.allBelieve("router-2", MemberState::Dead));
+    REQUIRE(group.allHaveState("router-2", MemberState::Dead));
     group.node(2).up = true;
     group.schedule(2);
-    CHECK(group.runUntil([&] { return group.allBelieve("router-2", MemberState::Alive); }, 10s));
+    CHECK(group.runUntil([&] { return group.allHaveState("router-2", MemberState::Alive); }, 10s));
     CHECK(everyoneKnows(9));
 }
 
@@ -134,12 +136,12 @@
             if (i != 2 && members.at("router-2").incarnation <= before)
                 return false;
         }
-        return group.allBelieve("router-2", MemberState::Alive);
+        return group.allHaveState("router-2", MemberState::Alive);
     };
     CHECK(group.runUntil(everyoneKnowsTheNewOne, 10s));
 }
 
-TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_partitionHealed_bringsBothSidesTogether")
+TEST_CASE_FIXTURE(IntroducedRoutersFixture, "membership_partitionHealed_reconnectsBothSides")
 {
     group.block([](std::size_t a, std::size_t b) { return (a < 4) != (b < 4); });
     group.run(20s);
@@ -151,7 +153,7 @@
     CHECK(group.runUntil([&] { return everyoneKnows(9); }, 30s));
 }
 
-TEST_CASE("membership_anHourAtOnePercentLoss_declaresNobodyDead")
+TEST_CASE("membership_anHourAtOnePercentLoss_declaresNoMemberDead")
 {
     PeerGroup group({.size = 9, .seed = 11, .loss = 0.01});
     group.introduceAll();
@@ -164,18 +166,18 @@
     CHECK(deaths == 0);
 }
 
-TEST_CASE("overrides_newsInAnyOrder_isTotalOrder")
+TEST_CASE("overrides_anyTwoUpdates_isATotalOrder")
 {
-    CHECK(overrides(news(MemberState::Suspect, 1), news(MemberState::Alive, 1)));
-    CHECK(overrides(news(MemberState::Dead, 1), news(MemberState::Leaving, 1)));
-    CHECK(overrides(news(MemberState::Alive, 2), news(MemberState::Dead, 1)));
-    CHECK_FALSE(overrides(news(MemberState::Alive, 1), news(MemberState::Alive, 1)));
-    CHECK_FALSE(overrides(news(MemberState::Dead, 1), news(MemberState::Alive, 2)));
+    CHECK(overrides(update(MemberState::Suspect, 1), update(MemberState::Alive, 1)));
+    CHECK(overrides(update(MemberState::Dead, 1), update(MemberState::Leaving, 1)));
+    CHECK(overrides(update(MemberState::Alive, 2), update(MemberState::Dead, 1)));
+    CHECK_FALSE(overrides(update(MemberState::Alive, 1), update(MemberState::Alive, 1)));
+    CHECK_FALSE(overrides(update(MemberState::Dead, 1), update(MemberState::Alive, 2)));
 }
 
-TEST_CASE("newsQueue_moreNewsThanRoom_sendsEachABoundedNumberOfTimes")
+TEST_CASE("memberUpdateQueue_moreUpdatesThanFit_sendsEachABoundedNumberOfTimes")
 {
-    NewsQueue queue;
+    MemberUpdateQueue queue;
     for (int i = 0; i < 10; ++i)
         queue.add({.name = std::to_string(i), .incarnation = 1});
     std::map<std::string, int> sent;
@@ -189,7 +191,7 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("governor_burst_holdsTheMeanUnderTheLimit")
+TEST_CASE("trafficGovernor_burst_keepsTheMeanBelowTheLimit")
 {
     ManualClock clock;
     TrafficGovernor governor({.clock = clock, .bytesPerSecond = 1000, .burst = 10s});
@@ -202,13 +204,13 @@
     CHECK(governor.total() >= 990 * 1000);
 }
 
-TEST_CASE("member_loadNeverHeard_isNotFresh")
+TEST_CASE("member_loadNeverReceived_isNotFresh")
 {
     const ManualClock clock;
     Member it;
-    CHECK_FALSE(it.heardWithin(std::chrono::seconds(5), clock.now()));
-    it.heardAt = clock.now() - std::chrono::seconds(4);
-    CHECK(it.heardWithin(std::chrono::seconds(5), clock.now()));
-    it.heardAt = clock.now() - std::chrono::seconds(5);
-    CHECK_FALSE(it.heardWithin(std::chrono::seconds(5), clock.now()));
+    CHECK_FALSE(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
+    it.loadReceivedAt = clock.now() - std::chrono::seconds(4);
+    CHECK(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
+    it.loadReceivedAt = clock.now() - std::chrono::seconds(5);
+    CHECK_FALSE(it.loadReceivedWithin(std::chrono::seconds(5), clock.now()));
 }
--- a/test/PlatformCodecTest.cpp
+++ b/test/PlatformCodecTest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("configDecoder_operatorsText_isDecodedWhole")
+TEST_CASE("configDecoder_operatorsConfig_isDecodedCompletely")
 {
     const Result<RouteConfigPtr> read = platform::decodeConfig(ConfigText);
     REQUIRE(read);
@@ -55,7 +55,7 @@
     CHECK(it.sourceText == ConfigText);
 }
 
-TEST_CASE("configDecoder_wrongTypesOrNoJson_isAnError")
+TEST_CASE("configDecoder_wrongTypesOrInvalidJson_isAnError")
 {
     CHECK_FALSE(platform::decodeConfig("nothing"));
     CHECK_FALSE(platform::decodeConfig(R"({"version":{}})"));
@@ -71,7 +71,7 @@
                                                   {"X-Token-Usage", "1460, 80"},
                                                   {"X-Prompt-Prefix", "5c1e:800, 91bd:410"}});
     CHECK(it.id == "r1");
-    CHECK(it.patience == 1500ms);
+    CHECK(it.callerTimeout == 1500ms);
     CHECK(it.key == "secret");
     CHECK(it.lastEventId == 12);
     CHECK(it.promptTokens == 1460);
@@ -81,20 +81,20 @@
     CHECK(it.prompt[1].tokens == 410);
 }
 
-TEST_CASE("requestCodec_rubbishInHeaders_countsAsNotSaid")
+TEST_CASE("requestCodec_malformedHeaders_countAsMissing")
 {
     const CallFacts it = platform::decodeRequest({{"X-Request-Deadline", "-5"},
                                                   {"Authorization", "Basic eA=="},
                                                   {"Last-Event-Id", "x"},
                                                   {"X-Prompt-Prefix", ",,zz:q,"}});
-    CHECK_FALSE(it.patience);
+    CHECK_FALSE(it.callerTimeout);
     CHECK(it.key.empty());
     CHECK_FALSE(it.lastEventId);
     for (const PromptPart &part : it.prompt)
         CHECK(part.tokens == 0);
 }
 
-TEST_CASE("requestCodec_answers_tellWhetherTheRequestRan")
+TEST_CASE("requestCodec_answers_showWhetherTheRequestRan")
 {
     const HttpHead refused{.status = 503, .headers = {{"X-Not-Executed", "1"}}};
     CHECK(platform::decodeAnswer(refused).notExecuted);
@@ -132,13 +132,13 @@
 )",
                                          "f", problems);
     REQUIRE(it);
-    CHECK(it->keyProofLimit == 5s);
-    CHECK(it->repeatSlack == 58);
-    CHECK(it->stopLimit == 8s);
+    CHECK(it->maxKeyProofAge == 5s);
+    CHECK(it->fleetRetrySlack == 58);
+    CHECK(it->stopTimeout == 8s);
     CHECK(it->metricsAddress.empty());
 }
 
-TEST_CASE("entrySettings_mistakes_areAllNamed")
+TEST_CASE("entrySettings_mistakes_areAllReported")
 {
     YamlProblems problems;
     CHECK_FALSE(EntrySettings::parse("name: a\nfailure_domain: b\ncaller_address: nowhere\n"
@@ -147,19 +147,19 @@
     CHECK(problems.size() >= 4);
 }
 
-TEST_CASE("enginePrompts_listOfAnEngine_isDecodedAndRubbishIsRefused")
+TEST_CASE("enginePrompts_listOfAnEngine_isDecodedAndMalformedOnesAreRefused")
 {
-    const auto read = platform::promptsIn(
+    const auto read = platform::decodePromptList(
             R"({"epoch":1,"next":5,"held":[["","5c1e",800,"m"],["","91bd",410,"m"]]})");
     REQUIRE(read);
     REQUIRE(read.value().size() == 2);
     CHECK(read.value()[0].id == 0x5c1e);
     CHECK(read.value()[1].tokens == 410);
-    CHECK_FALSE(platform::promptsIn("no json"));
-    CHECK_FALSE(platform::promptsIn(R"({"held":[[1,{}]]})"));
+    CHECK_FALSE(platform::decodePromptList("no json"));
+    CHECK_FALSE(platform::decodePromptList(R"({"held":[[1,{}]]})"));
 }
 
-TEST_CASE("requestCodec_loadOfAReplica_isReadWhereItIsWhole")
+TEST_CASE("requestCodec_loadOfAReplica_isDecodedIfComplete")
 {
     const auto loadIn = [](const char *text) {
         return platform::decodeAnswer({.status = 200, .headers = {{"X-Server-Load", text}}}).load;
@@ -173,7 +173,7 @@
         CHECK_FALSE(loadIn(it));
 }
 
-TEST_CASE("platformCodec_answerOfAReplica_saysThatItLeavesOrPauses")
+TEST_CASE("platformCodec_answerOfAReplica_showsLeavingAndPause")
 {
     const auto pause = [](int status, const std::string &text) {
         return platform::decodeAnswer({.status = status, .headers = {{"Retry-After", text}}}).pause;
--- a/test/RequestQuarantineTest.cpp
+++ b/test/RequestQuarantineTest.cpp
@@ -1,7 +1,7 @@
 #include "Decide/RequestQuarantine.h"
 #include "Base/Hash.h"
 #include "Base/ManualClock.h"
-#include "Control/RouterBeat.h"
+#include "Control/RouterHeartbeat.h"
 
 #include <doctest/doctest.h>
 
@@ -23,7 +23,7 @@
 const std::vector<std::string> Old = {"svc v1"};
 const std::vector<std::string> New = {"svc v2"};
 
-/// Routers that decide for themselves and tell each other what they know.
+/// Routers that each have their own quarantine and announce their evidence to each other.
 struct QuarantineFleetFixture
 {
     QuarantineFleetFixture() : QuarantineFleetFixture(4) { }
@@ -42,31 +42,31 @@
                 }}));
     }
 
-    /// Every router tells all others once, over the wire format.
-    void tell()
+    /// Every router sends its updates to all others once, in the wire format.
+    void exchangeUpdates()
     {
         for (const auto &from : routers) {
-            std::vector<CrashNews> news = from->takeNews();
-            for (CrashNews &it : from->takeFirstEnds())
-                news.push_back(std::move(it));
-            const std::string text = BeatCodec::encode({.name = "r", .crashes = news});
+            std::vector<CrashUpdate> updates = from->takeUpdates();
+            for (CrashUpdate &it : from->takeFirstCrashes())
+                updates.push_back(std::move(it));
+            const std::string text = HeartbeatCodec::encode({.name = "r", .crashes = updates});
             bytes = std::max(bytes, text.size());
-            const Result<RouterBeat> beat = codec.decode(text);
-            REQUIRE(beat);
+            const Result<RouterHeartbeat> heartbeat = codec.decode(text);
+            REQUIRE(heartbeat);
             for (const auto &to : routers) {
                 if (to != from)
-                    to->merge(beat.value().crashes);
+                    to->merge(heartbeat.value().crashes);
             }
         }
     }
 
-    /// A replica ends at router \a i while it runs all of \a requests.
-    void end(std::size_t i, std::initializer_list<std::string> requests,
-             const std::string &software = Old.front())
+    /// Router \a i observes that a replica crashes while it runs all of \a requests.
+    void crash(std::size_t i, std::initializer_list<std::string> requests,
+               const std::string &software = Old.front())
     {
-        const std::string replica = fmt::format("i-{}", ++ended);
+        const std::string replica = fmt::format("i-{}", ++crashedCount);
         for (const std::string &it : requests)
-            routers[i]->replicaEnded(it, replica, software);
+            routers[i]->replicaCrashed(it, replica, software);
     }
 
     std::size_t heldBy(const std::string &request, const std::vector<std::string> &software = Old)
@@ -78,21 +78,23 @@
     }
 
     ManualClock clock;
-    BeatCodec codec;
+    HeartbeatCodec codec;
     std::vector<std::unique_ptr<RequestQuarantine>> routers;
-    std::size_t bytes = 0; ///< Of the longest message so far.
-    int ended = 0;
+    std::size_t bytes = 0; ///< Size of the longest message so far.
+    int crashedCount = 0;
 };
 
 } // namespace
 
-// Guards against a request that ends replicas at one router after the other without any knowing.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_threeReplicasEnd_allRoutersHoldItBack")
+// Guards against a request that crashes replicas via different routers, none of which observes
+// enough crashes to hold it back.
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_threeReplicasCrash_allRoutersHoldItBack")
 {
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(heldBy(Fatal) == 0);
-        end(i, {Fatal});
-        tell();
+        crash(i, {Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Fatal) == 4);
@@ -103,46 +105,48 @@
     CHECK(heldBy(Innocent) == 0);
 }
 
-// Guards against refusing what many callers send, which is in progress on whatever ends.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_innocentCompletesBetweenEnds_isServed")
+// Guards against holding back a request that many callers send, which is in progress on any replica
+// that crashes.
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_innocentCompletesBetweenCrashes_isServed")
 {
     for (int i = 0; i < 20; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent});
-        tell();
+        crash(static_cast<std::size_t>(i) % 4, {Innocent});
+        exchangeUpdates();
         clock.advance(600ms);
         CHECK(heldBy(Innocent) == 0);
         routers[static_cast<std::size_t>(i + 1) % 4]->completed(Innocent);
-        tell();
+        exchangeUpdates();
         clock.advance(600ms);
     }
 }
 
-// Guards against taking what ran on a rack for the cause of its loss.
+// Guards against holding back the requests that were in progress on a lost rack.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_manyReplicasEndAtOnce_nothingIsHeldBack")
+                  "requestQuarantine_manyReplicasCrashAtOnce_nothingIsHeldBack")
 {
     for (int i = 0; i < 30; ++i) {
-        end(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
+        crash(static_cast<std::size_t>(i) % 4, {Innocent, Fatal});
         clock.advance(5ms);
     }
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
 }
 
-// Guards against holding back a request for ends that another one has caused.
+// Guards against holding back a request for crashes that another request caused.
 TEST_CASE_FIXTURE(QuarantineFleetFixture,
-                  "requestQuarantine_endsAreShared_onlyTheOneWithMoreIsHeld")
+                  "requestQuarantine_crashesAreShared_onlyTheOneWithMoreIsHeld")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i, {Innocent, Fatal});
-        tell();
+        crash(i, {Innocent, Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 0);
-    end(3, {Fatal});
-    tell();
+    crash(3, {Fatal});
+    exchangeUpdates();
     clock.advance(200ms);
     CHECK(heldBy(Innocent) == 0);
     CHECK(heldBy(Fatal) == 4);
@@ -153,36 +157,36 @@
                   "requestQuarantine_routerStartsLater_learnsWhatIsHeldBack")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
-        tell();
+        crash(0, {Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
     clock.advance(1min);
-    tell();
+    exchangeUpdates();
     addRouter();
     CHECK(heldBy(Fatal) == 4);
     clock.advance(2s);
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Fatal) == 5);
 }
 
-// Guards against a wave of trials, one from each router, once a request's time is over.
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_timeIsOver_routersTryItInTurn")
+// Guards against simultaneous trials by all routers when the hold time of a request is over.
+TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_holdTimeIsOver_routersTryItInTurn")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
-        tell();
+        crash(0, {Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
-    clock.advance(RequestQuarantine::HoldTime - 2s);
+    clock.advance(RequestQuarantine::MinHoldTime - 2s);
     int trials = 0;
     for (int i = 0; i < 200; ++i) {
         for (std::size_t k = 0; k < routers.size(); ++k) {
             if (routers[k]->admit(Fatal, Old))
                 continue;
             ++trials;
-            end(k, {Fatal});
-            tell();
+            crash(k, {Fatal});
+            exchangeUpdates();
         }
         clock.advance(100ms);
     }
@@ -193,8 +197,8 @@
 TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftware_isTriedAndServedAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
-        tell();
+        crash(0, {Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
     const std::vector<std::string> both = {Old.front(), New.front()};
@@ -209,16 +213,17 @@
     }
     REQUIRE(admitting < routers.size());
     routers[admitting]->completed(Fatal);
-    tell();
+    exchangeUpdates();
     CHECK(heldBy(Fatal, New) == 0);
     CHECK(heldBy(Fatal, Old) == 0);
 }
 
-TEST_CASE_FIXTURE(QuarantineFleetFixture, "requestQuarantine_otherSoftwareEndsToo_isHeldBackAgain")
+TEST_CASE_FIXTURE(QuarantineFleetFixture,
+                  "requestQuarantine_otherSoftwareCrashesToo_isHeldBackAgain")
 {
     for (int i = 0; i < 3; ++i) {
-        end(0, {Fatal});
-        tell();
+        crash(0, {Fatal});
+        exchangeUpdates();
         clock.advance(400ms);
     }
     int trials = 0;
@@ -227,40 +232,41 @@
             if (routers[k]->admit(Fatal, New))
                 continue;
             ++trials;
-            end(k, {Fatal}, New.front());
-            tell();
+            crash(k, {Fatal}, New.front());
+            exchangeUpdates();
         }
         clock.advance(100ms);
     }
     CHECK(trials == 1);
 }
 
-// Guards against memory and messages that grow with the requests that were in progress on a rack.
+// Guards against memory use and messages that grow with the number of requests in progress on a
+// lost rack.
 TEST_CASE("requestQuarantine_manySuspects_areBoundedAndTheWorstIsKept")
 {
     QuarantineFleetFixture fleet(2);
     for (int i = 0; i < 3; ++i) {
-        fleet.end(0, {Fatal});
+        fleet.crash(0, {Fatal});
         fleet.clock.advance(300ms);
     }
     for (int i = 0; i < 20'000; ++i)
-        fleet.end(0, {fmt::format("suspect-{:016}", i)});
+        fleet.crash(0, {fmt::format("suspect-{:016}", i)});
     CHECK(fleet.routers[0]->size() <= 4096);
     for (int i = 0; i < 100; ++i) {
-        fleet.tell();
+        fleet.exchangeUpdates();
         fleet.clock.advance(400ms);
     }
-    CHECK(fleet.bytes < 8000); // 64 first ends, which go in several messages.
+    CHECK(fleet.bytes < 8000); // Up to 64 first incidents; FleetTask splits them into datagrams.
     CHECK(fleet.heldBy(Fatal) == 2);
 }
 
-/// A fleet in which each router reaches a part of the others at a time, with the pace of beats.
+/// A fleet in which each router sends to a part of the others at each heartbeat.
 struct LargeFleetFixture : QuarantineFleetFixture
 {
     static constexpr std::size_t Routers = 890;
-    static constexpr std::size_t Fanout = 26; ///< Of a beat.
+    static constexpr std::size_t Fanout = 26; ///< Receivers of a heartbeat.
     static constexpr std::size_t UrgentFanout = 78;
-    static constexpr std::size_t Keepers = 8;
+    static constexpr std::size_t Holders = 8;
 
     LargeFleetFixture() : QuarantineFleetFixture(Routers)
     {
@@ -269,85 +275,89 @@
             next.push_back(below(random, Routers));
     }
 
-    void send(std::size_t to, const std::vector<CrashNews> &news)
+    void send(std::size_t to, const std::vector<CrashUpdate> &updates)
     {
         ++messages;
-        routers[to % Routers]->merge(news);
+        routers[to % Routers]->merge(updates);
     }
 
-    void tellFrom(std::size_t i, std::size_t n)
+    void announceFrom(std::size_t i, std::size_t n)
     {
-        const std::vector<CrashNews> news = routers[i]->takeNews();
-        for (std::size_t k = 0; !news.empty() && k < n; ++k)
-            send(next[i] + k, news);
+        const std::vector<CrashUpdate> updates = routers[i]->takeUpdates();
+        for (std::size_t k = 0; !updates.empty() && k < n; ++k)
+            send(next[i] + k, updates);
         next[i] += n;
-        for (const CrashNews &it : routers[i]->takeFirstEnds()) {
-            for (std::size_t k = 0; k < Keepers; ++k)
+        for (const CrashUpdate &it : routers[i]->takeFirstCrashes()) {
+            for (std::size_t k = 0; k < Holders; ++k)
                 send(hash64(it.fingerprint, k), {it});
         }
     }
 
-    void beat()
+    void heartbeat()
     {
         for (std::size_t i = 0; i < Routers; ++i)
-            tellFrom(i, Fanout);
+            announceFrom(i, Fanout);
         clock.advance(400ms);
     }
 
-    std::vector<std::size_t> next; ///< Target of each router's next message.
-    std::size_t messages = 0; ///< That carried something.
+    std::vector<std::size_t> next; ///< Receiver of each router's next message.
+    std::size_t messages = 0; ///< Number of messages with updates.
 };
 
-// Guards against routers of a large fleet that have not heard of it when the request comes again.
+// Guards against routers of a large fleet that have not received the evidence when the request is
+// sent again.
 TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_largeFleet_allHoldItBackWithinThreeSeconds")
 {
     for (std::size_t i = 0; i < 3; ++i) {
-        end(i * 300, {Fatal});
-        tellFrom(i * 300, UrgentFanout);
-        beat();
+        crash(i * 300, {Fatal});
+        announceFrom(i * 300, UrgentFanout);
+        heartbeat();
     }
-    for (int i = 0; i < 6; ++i) // With the beat before, 2.8 s since the third end.
-        beat();
+    for (int i = 0; i < 6; ++i) // With the heartbeat above, 2.8 s after the third crash.
+        heartbeat();
     CHECK(heldBy(Fatal) == Routers);
 }
 
-// Guards against a flood of messages where a failure domain is lost with all that ran there.
-TEST_CASE_FIXTURE(LargeFleetFixture, "requestQuarantine_failureDomainLost_onlyKeepersAreTold")
+// Guards against a flood of messages when a failure domain is lost with all requests in progress
+// there.
+TEST_CASE_FIXTURE(LargeFleetFixture,
+                  "requestQuarantine_failureDomainLost_onlyHoldersReceiveUpdates")
 {
     constexpr std::size_t Suspects = 9'000;
     for (std::size_t i = 0; i < Suspects; ++i)
-        end(i % Routers, {fmt::format("suspect-{:016}", i)});
+        crash(i % Routers, {fmt::format("suspect-{:016}", i)});
     for (int i = 0; i < 10; ++i)
-        beat();
-    CHECK(messages <= 2 * Keepers * Suspects);
+        heartbeat();
+    CHECK(messages <= 2 * Holders * Suspects);
     CHECK(heldBy("suspect-0000000000000001") == 0);
     messages = 0;
     for (int i = 0; i < 10; ++i)
-        beat();
+        heartbeat();
     CHECK(messages == 0);
 }
 
 TEST_CASE("crashRecord_mergedInAnyOrder_isTheSame")
 {
     ManualClock clock;
-    std::vector<ReplicaEnd> ends;
-    ends.reserve(12);
+    std::vector<ReplicaCrash> replicaCrashes;
+    replicaCrashes.reserve(12);
     for (int i = 0; i < 12; ++i)
-        ends.push_back({.replica = fmt::format("i-{}", i), .at = clock.now() + i * 300ms});
+        replicaCrashes.push_back(
+                {.replica = fmt::format("i-{}", i), .at = clock.now() + i * 300ms});
     std::vector<std::string> first;
     RandomSource random = seededRandom(3);
     for (int i = 0; i < 200; ++i) {
-        for (std::size_t k = ends.size() - 1; k > 0; --k)
-            std::swap(ends[k], ends[below(random, k + 1)]);
+        for (std::size_t k = replicaCrashes.size() - 1; k > 0; --k)
+            std::swap(replicaCrashes[k], replicaCrashes[below(random, k + 1)]);
         CrashRecord record;
-        for (const ReplicaEnd &it : ends)
+        for (const ReplicaCrash &it : replicaCrashes)
             record.add(it);
-        std::vector<std::string> kept;
-        for (const ReplicaEnd &it : record.ends())
-            kept.push_back(it.replica);
+        std::vector<std::string> stored;
+        for (const ReplicaCrash &it : record.replicaCrashes())
+            stored.push_back(it.replica);
         if (first.empty())
-            first = kept;
-        CHECK(kept == first);
+            first = stored;
+        CHECK(stored == first);
     }
     CHECK(first.back() == "i-11");
 }
--- a/test/integration/EntryTest.cpp
+++ b/test/integration/EntryTest.cpp
@@ -85,8 +85,9 @@
         : EntryFleetFixture({.binaries = CATKINLOFT_BINARIES, .replicas = 4, .domains = 2})
     { }
 
-    /// Sends calls and streams to every router. \returns the ids of those that were served.
-    std::set<std::string> sendToAll()
+    /// Sends calls and streams to every router.
+    /// \returns the ids of the requests that were answered with 200.
+    std::set<std::string> sendToAllRouters()
     {
         std::set<std::string> out;
         for (std::size_t i = 0; i < 36; ++i) {
@@ -98,16 +99,17 @@
         return out;
     }
 
-    /// In which an evacuation has to be in force.
-    static constexpr auto EvacuationLimit = 1500ms;
+    /// All routers must apply an evacuation within this time.
+    static constexpr auto EvacuationDeadline = 1500ms;
 };
 
-/// Two replicas of each service, and more requests than a cold one bears.
+/// Two replicas of each service and more requests than the rate limit of a cold one allows.
 struct ColdReplicaFixture : EntryFleetFixture
 {
     ColdReplicaFixture() : EntryFleetFixture({.binaries = CATKINLOFT_BINARIES, .replicas = 2}) { }
 
-    /// Calls all routers as fast as they answer. \returns how many were served and how many not.
+    /// Calls all routers for \a length, each caller sending its next request after the last answer.
+    /// \returns how many requests were answered with 200 and how many were not.
     std::pair<int, int> callFor(Duration length)
     {
         std::atomic<int> served = 0;
@@ -134,8 +136,9 @@
         return {served, failed};
     }
 
-    /// \returns the most requests that reached replica \a id within one second, from \a fromMs on.
-    std::size_t mostInASecond(const std::string &id, std::int64_t fromMs) const
+    /// \returns the highest number of requests that reached replica \a id within any one second
+    /// since \a fromMs.
+    std::size_t maxRequestsPerSecond(const std::string &id, std::int64_t fromMs) const
     {
         std::vector<std::int64_t> times;
         for (const Json::Value &it : fleet.arrivals()) {
@@ -152,8 +155,8 @@
         return most;
     }
 
-    /// Until all routers know a new entry.
-    static constexpr auto EntryKnown = 1500ms;
+    /// Time within which all routers know a new registry entry.
+    static constexpr auto EntryPropagationTime = 1500ms;
 
     static std::int64_t nowMs()
     {
@@ -161,12 +164,12 @@
     }
 };
 
-/// A fleet beside which a request comes again and again that ends each replica that runs it.
+/// A fleet that receives a request repeatedly that crashes each replica that runs it.
 struct FatalRequestFixture
 {
     FatalRequestFixture() { fleet.start(); }
 
-    /// \returns the status that one request with \a body gets at router \a i.
+    /// Sends a request with \a body to router \a i. \returns its status, or 0 without an answer.
     int send(std::size_t i, const std::string &body)
     {
         const std::string id = fmt::format("{}-{}", body, ++requests);
@@ -183,8 +186,8 @@
         return answer ? answer.value().head.status : 0;
     }
 
-    /// \returns when runs of the fatal request began, in milliseconds.
-    std::vector<std::int64_t> fatalRuns() const
+    /// \returns when replicas executed the fatal request, in milliseconds, in ascending order.
+    std::vector<std::int64_t> fatalExecutionTimes() const
     {
         std::vector<std::int64_t> out;
         for (const Json::Value &it : fleet.executions()) {
@@ -201,11 +204,12 @@
 
 } // namespace
 
-// Guards against a request that ends its replicas at one router after the other.
-TEST_CASE_FIXTURE(FatalRequestFixture, "entry_replicasEndUnderARequest_everyRouterHoldsItBack")
+// Guards against a request that crashes replicas through one router after the other because the
+// routers do not share what they know of it. A caller sends it to each router in turn.
+TEST_CASE_FIXTURE(FatalRequestFixture, "entry_requestThatCrashesReplicas_isRefusedByEveryRouter")
 {
     constexpr std::int64_t StableWindow = 3000;
-    constexpr std::ptrdiff_t AllowedLater = 3;
+    constexpr std::ptrdiff_t MaxLaterRuns = 3;
     int good = 0;
     int sent = 0;
     const auto until = std::chrono::steady_clock::now() + 9s;
@@ -216,38 +220,40 @@
             good += send((i + 1) % fleet.routerCount(), "good") == 200 ? 1 : 0;
         }
         std::this_thread::sleep_for(200ms);
-        fleet.restartEndedReplicas(2s);
+        fleet.restartExitedReplicas(2s);
     }
-    const std::vector<std::int64_t> runs = fatalRuns();
+    const std::vector<std::int64_t> runs = fatalExecutionTimes();
     REQUIRE(runs.size() >= 3);
     CHECK(std::count_if(runs.begin(), runs.end(),
                         [&](std::int64_t it) { return it > runs[2] + StableWindow; })
-          <= AllowedLater);
+          <= MaxLaterRuns);
     CHECK(good >= sent * 9 / 10);
     for (std::size_t i = 0; i < fleet.routerCount(); ++i)
         CHECK(send(i, "fatal") == 503);
 }
 
-// Guards against sending to a replica that says in its answers that it leaves while the store, and
-// with it the replica's entry, is out of reach.
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaSaysThatItLeavesWhileTheStoreIsAway_getsNothing")
+// Guards against sending requests to a replica that reports in its answers that it is leaving,
+// while the store is unavailable, so that the replica's registry entry cannot be read.
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_replicaReportsLeavingWhileStoreIsDown_getsNothingNew")
 {
-    constexpr auto DrainLimit = 2s;
+    constexpr auto DrainDeadline = 2s;
     fleet.setReplicaFaults(0, R"({"leaving":1})");
     fleet.setStoreMode("down");
-    std::optional<std::chrono::steady_clock::time_point> toldAt; ///< The first of all routers.
+    // When the replica first reported to any router that it is leaving.
+    std::optional<std::chrono::steady_clock::time_point> leavingReportedAt;
     std::set<std::string> late;
     const auto until = std::chrono::steady_clock::now() + 4500ms;
     for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
         const std::size_t router = i % fleet.routerCount();
         const auto sentAt = std::chrono::steady_clock::now();
         const Result<HttpAnswer> answer = send(router, "/safe/a");
-        if (toldAt && sentAt > *toldAt + DrainLimit)
+        if (leavingReportedAt && sentAt > *leavingReportedAt + DrainDeadline)
             late.insert(lastId);
-        if (!toldAt && answer && answer.value().body.find(fleet.replicaId(0)) != std::string::npos)
-            toldAt = std::chrono::steady_clock::now();
+        if (!leavingReportedAt && answer
+            && answer.value().body.find(fleet.replicaId(0)) != std::string::npos)
+            leavingReportedAt = std::chrono::steady_clock::now();
     }
-    CHECK(toldAt);
+    CHECK(leavingReportedAt);
     CHECK(late.size() > 20);
     for (const Json::Value &it : fleet.executions()) {
         if (it["replica"].asString() == fleet.replicaId(0))
@@ -255,26 +261,28 @@
     }
 }
 
-// Guards against sending to a failure domain that the operator has asked to be left alone.
-TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_getsNothingUntilItIsTakenBack")
+// Guards against sending requests to a failure domain that the operator has evacuated, also from a
+// router that was restarted meanwhile.
+TEST_CASE_FIXTURE(TwoDomainFixture, "entry_evacuatedDomain_isExcludedUntilTheEvacuationEnds")
 {
     fleet.evacuate("hall-1");
-    std::this_thread::sleep_for(EvacuationLimit);
-    const std::set<std::string> served = sendToAll();
+    std::this_thread::sleep_for(EvacuationDeadline);
+    const std::set<std::string> served = sendToAllRouters();
     CHECK(served.size() == 108);
     CHECK(executionsIn("hall-1", served) == 0);
     fleet.router(1).signal(SIGKILL);
     fleet.router(1).wait();
     fleet.startRouter(1);
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
-    const std::set<std::string> servedAfterAStart = sendToAll();
-    CHECK(servedAfterAStart.size() == 108);
-    CHECK(executionsIn("hall-1", servedAfterAStart) == 0);
+    const std::set<std::string> servedAfterRestart = sendToAllRouters();
+    CHECK(servedAfterRestart.size() == 108);
+    CHECK(executionsIn("hall-1", servedAfterRestart) == 0);
     fleet.endEvacuation("hall-1");
-    CHECK(Fleet::waitFor([&] { return executionsIn("hall-1", sendToAll()) > 0; }));
+    CHECK(Fleet::waitFor([&] { return executionsIn("hall-1", sendToAllRouters()) > 0; }));
 }
 
-// Guards against a router that has slept through the word and sends before it has heard of it.
+// Guards against a router that was suspended when the evacuation was announced and, once resumed,
+// sends requests to the evacuated domain before it has received the update.
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_routerSuspendedDuringAnEvacuation_sendsNothingThere")
 {
     fleet.router(0).signal(SIGSTOP);
@@ -290,12 +298,12 @@
     CHECK(executionsIn("hall-1", served) == 0);
 }
 
-// Guards against callers that wait where every failure domain is evacuated.
+// Guards against requests that wait for an upstream when every failure domain is evacuated.
 TEST_CASE_FIXTURE(TwoDomainFixture, "entry_allDomainsEvacuated_refusesAtOnceAsNotRun")
 {
     fleet.evacuate("hall-0");
     fleet.evacuate("hall-1");
-    std::this_thread::sleep_for(EvacuationLimit);
+    std::this_thread::sleep_for(EvacuationDeadline);
     for (std::size_t i = 0; i < fleet.routerCount(); ++i) {
         CHECK(status(i, "/safe/a") == 503);
         CHECK(executionsOf(lastId) == 0);
@@ -304,15 +312,15 @@
     CHECK(Fleet::waitFor([&] { return status(0, "/safe/a") == 200; }));
 }
 
-// Guards against routers that together send a cold replica more than it bears, which ends it.
-TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_coldReplicaBesideAWarmOne_getsWhatItBears")
+// Guards against routers that together exceed the rate limit of a cold replica, which crashes it.
+TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_coldReplicaBesideAWarmOne_staysWithinItsRateLimit")
 {
     fleet.setReplicaFaults(0, R"({"cold_per_s":20})");
     fleet.registerReplica(0, "ready", 8s);
-    std::this_thread::sleep_for(EntryKnown);
+    std::this_thread::sleep_for(EntryPropagationTime);
     const std::int64_t from = nowMs();
     const auto [served, failed] = callFor(4s);
-    const std::size_t most = mostInASecond(fleet.replicaId(0), from);
+    const std::size_t most = maxRequestsPerSecond(fleet.replicaId(0), from);
     CHECK(most > 0);
     CHECK(most <= EntryFleet::ColdPerSecond);
     CHECK(fleet.replica(0).isRunning());
@@ -320,20 +328,21 @@
     CHECK(failed == 0);
 }
 
-// Guards against the same where no warm replica is left: what can't be sent is refused at once.
-TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_allReplicasCold_getWhatTheyBearAndTheRestIsRefused")
+// Guards against exceeding the rate limit of cold replicas when no warm replica is left: requests
+// above the limit are refused at once.
+TEST_CASE_FIXTURE(ColdReplicaFixture, "entry_allReplicasCold_stayWithinRateLimitAndExcessIsRefused")
 {
     for (const std::size_t i : {0U, 1U}) {
         fleet.setReplicaFaults(i, R"({"cold_per_s":20})");
         fleet.registerReplica(i, "ready", 8s);
     }
-    std::this_thread::sleep_for(EntryKnown);
+    std::this_thread::sleep_for(EntryPropagationTime);
     const std::int64_t from = nowMs();
     const auto [served, failed] = callFor(3s);
     CHECK(served >= 20);
     CHECK(failed > 0);
     for (const std::size_t i : {0U, 1U}) {
-        CHECK(mostInASecond(fleet.replicaId(i), from) <= EntryFleet::ColdPerSecond);
+        CHECK(maxRequestsPerSecond(fleet.replicaId(i), from) <= EntryFleet::ColdPerSecond);
         CHECK(fleet.replica(i).isRunning());
     }
 }
@@ -358,7 +367,7 @@
 
 TEST_CASE_FIXTURE(EntryFleetFixture, "entry_directory_namesAllRoutersUntilOneStops")
 {
-    const auto named = [&] {
+    const auto namedRouterCount = [&] {
         const Result<HttpAnswer> answer = Fleet::fetch(
                 {.address = fleet.directoryAddress(0), .target = "/v1/resolve?name=x&zone=hall"});
         std::size_t n = 0;
@@ -366,13 +375,13 @@
             n += answer.value().body.find(fleet.callerAddress(i)) != std::string::npos ? 1 : 0;
         return n;
     };
-    CHECK(Fleet::waitFor([&] { return named() == 3; }));
+    CHECK(Fleet::waitFor([&] { return namedRouterCount() == 3; }));
     fleet.router(2).signal(SIGTERM);
-    CHECK(Fleet::waitFor([&] { return named() == 2; }));
+    CHECK(Fleet::waitFor([&] { return namedRouterCount() == 2; }));
     CHECK(fleet.router(2).wait() == 0);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_settingsChange_areInForceOnSighupUnlessTheyAreWrong")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_settingsChange_isActiveAfterSighupUnlessInvalid")
 {
     const auto lifetime = [&] {
         const Result<HttpAnswer> answer = Fleet::fetch(
@@ -393,7 +402,7 @@
     CHECK(status(0, "/safe/a") == 200);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_keyTakenAway_isRefusedOnEveryRouter")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_keyRevoked_isRefusedOnEveryRouter")
 {
     fleet.writeConfig({"second-key"});
     for (std::size_t i = 0; i < fleet.routerCount(); ++i) {
@@ -402,7 +411,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_configurationAfterForgottenHistory_isInForce")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_configurationAfterDeletedHistory_isActive")
 {
     fleet.forgetHistory();
     fleet.writeConfig({EntryFleet::Key}, true);
@@ -410,7 +419,7 @@
         CHECK(Fleet::waitFor([&] { return status(i, "/extra/a") == 200; }));
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_storeIsDown_refusesKeysAsNotRunAndServesAgainAfter")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_storeDown_refusesAsNotRunAndRecovers")
 {
     fleet.setStoreMode("down");
     CHECK(Fleet::waitFor([&] { return status(0, "/safe/a") == 503; }));
@@ -421,14 +430,14 @@
     CHECK(Fleet::waitFor([&] { return fleet.isReady(0); }));
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_oneRouterCutFromStore_learnsOfChangesFromItsPeers")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_oneRouterCutOffFromStore_receivesChangesFromPeers")
 {
-    // All three read the store in a fleet this small; the one that is cut off asks the others.
-    fleet.strikeStorePath(1, R"({"refuse":true,"cut":true})");
+    // In a fleet of three all routers read the store; the one that is cut off asks the others.
+    fleet.setStoreProxyFaults(1, R"({"refuse":true,"cut":true})");
     fleet.writeConfig({"second-key"});
     CHECK(Fleet::waitFor([&] { return status(1, "/safe/a", "second-key") == 200; }));
     CHECK(status(1, "/safe/a") == 401);
-    // Longer than an own proof would last: it is renewed by the peers.
+    // Longer than the router's own freshness proof is valid: the peers renew it.
     const auto until = std::chrono::steady_clock::now() + 6s;
     bool always = true;
     while (std::chrono::steady_clock::now() < until)
@@ -436,7 +445,7 @@
     CHECK(always);
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_suspendedRouter_servesNoKeyThatWasTakenAwayMeanwhile")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_suspendedRouter_refusesKeyRevokedMeanwhile")
 {
     fleet.router(0).signal(SIGSTOP);
     fleet.writeConfig({"second-key"});
@@ -464,14 +473,14 @@
 }
 
 TEST_CASE_FIXTURE(EntryFleetFixture,
-                  "entry_answersLost_onceOnlyCallsRunOnceAndIdempotentAreAnswered")
+                  "entry_answersLost_nonIdempotentRunOnceAndIdempotentAreAnswered")
 {
     for (std::size_t i = 0; i < 3; ++i)
         fleet.setReplicaFaults(i, R"({"lose":0.4})");
     int answered = 0;
     for (int i = 0; i < 20; ++i)
         answered += status(0, "/safe/a") == 200 ? 1 : 0;
-    CHECK(answered >= 12); // Alone, 8 of 20 would fail.
+    CHECK(answered >= 12); // Without retries, 8 of 20 would fail on average.
     for (int i = 0; i < 20; ++i) {
         const int got = status(1, "/once/a", EntryFleet::Key, "POST");
         CHECK((got == 200 || got == 502));
@@ -479,14 +488,14 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_streamsCutWithinEvents_areResumedWhole")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_streamsCutWithinEvents_areResumedCompletely")
 {
     for (std::size_t i = 3; i < 6; ++i)
         fleet.setReplicaFaults(i, R"({"cut":0.3})");
     for (int i = 0; i < 15; ++i) {
         const Result<HttpAnswer> answer = send(0, "/stream/a?events=6");
         if (!answer)
-            continue; // Both replicas cut it: the caller sees that.
+            continue; // Every attempt was cut, and the caller gets an error.
         std::string expected;
         for (int k = 1; k <= 6; ++k)
             expected += fmt::format("id: {}\ndata: piece {}\n\n", k, k);
@@ -494,11 +503,11 @@
     }
 }
 
-TEST_CASE_FIXTURE(EntryFleetFixture, "entry_plannedStop_endsRunningStreamsWhole")
+TEST_CASE_FIXTURE(EntryFleetFixture, "entry_plannedStop_completesRunningStreams")
 {
     std::vector<std::thread> callers;
     callers.reserve(8);
-    std::atomic<int> whole = 0;
+    std::atomic<int> complete = 0;
     for (int i = 0; i < 8; ++i) {
         callers.emplace_back([&, i] {
             const Result<HttpAnswer> answer = Fleet::fetch(
@@ -509,14 +518,14 @@
                                  {"Authorization", std::string("Bearer ") + EntryFleet::Key}},
                      .timeout = 8s});
             if (answer && answer.value().body.find("id: 150\n") != std::string::npos)
-                ++whole;
+                ++complete;
         });
     }
     std::this_thread::sleep_for(300ms);
     fleet.router(0).signal(SIGTERM);
     for (std::thread &it : callers)
         it.join();
-    CHECK(whole.load() == 8);
+    CHECK(complete.load() == 8);
     CHECK(fleet.router(0).wait() == 0);
 }
 
@@ -541,7 +550,7 @@
         RequestTrace trace(lastId);
         for (std::size_t i = 0; i < fleet.routerCount(); ++i)
             trace.addLog(fleet.routerLog(i));
-        return trace.account().find("cause: upstream_broken: the connection broke")
+        return trace.summary().find("cause: upstream_broken: the connection broke")
                 != std::string::npos;
     };
     CHECK(Fleet::waitFor(explained));
